--- a/src/entry/callers/activeTable.ts
+++ b/src/entry/callers/activeTable.ts
@@ -6,16 +6,16 @@
 export class ActiveTable {
   private readonly running = new Map<string, PooledRequest>();
 
-  private readonly open = new Set<string>();
+  private readonly unfinished = new Set<string>();
 
   /** Requests that are waiting or running. */
   get size(): number {
-    return this.open.size;
+    return this.unfinished.size;
   }
 
   /** Counts a request in. */
   add(id: string): void {
-    this.open.add(id);
+    this.unfinished.add(id);
   }
 
   /** Notes that a request holds a slot. */
@@ -38,7 +38,7 @@
 
   /** Counts a request out. */
   remove(id: string): void {
-    this.open.delete(id);
+    this.unfinished.delete(id);
     this.running.delete(id);
   }
 
--- a/src/entry/callers/keptAnswer.ts
+++ b/src/entry/callers/answerBuffer.ts
@@ -5,7 +5,7 @@
  * const kept = new KeptAnswer(65_536);
  * kept.add(data);
  */
-export class KeptAnswer {
+export class AnswerBuffer {
   private events: string[] = [];
 
   private bytes = 0;
@@ -13,14 +13,14 @@
   constructor(private readonly maxBytes: number) {}
 
   /** Whether all of the answer is within the bound. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.bytes <= this.maxBytes;
   }
 
   /** Adds an event; beyond the bound everything is let go. */
   add(data: string): void {
     this.bytes += Buffer.byteLength(data);
-    if (this.isWhole) this.events.push(data);
+    if (this.isComplete) this.events.push(data);
     else this.events = [];
   }
 
@@ -31,6 +31,6 @@
 }
 
 /** Reads the events of an answer that a claim kept. */
-export const decodeKeptAnswer = (bytes: Uint8Array): string[] => (
+export const decodeStoredAnswer = (bytes: Uint8Array): string[] => (
   JSON.parse(Buffer.from(bytes).toString()) as string[]
 );
--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -20,25 +20,25 @@
 import type { Configuration } from '../inForce/configuration';
 import type { ModelRunner } from '../sending/modelRunner';
 import { RequestClaim } from '../sending/requestClaim';
-import type { CallerLink, RequestJob } from './requestJob';
+import type { CallerConnection, RequestJob } from './requestJob';
 import type { RetryBudget } from '../sending/retryBudget';
 import type { Scheduler } from '../choosing/scheduler';
 import type { ServiceAnswer } from '../sending/serviceClient';
 import type { ServiceRunner } from '../sending/serviceRunner';
-import { pickPassedHeaders } from '../sending/serviceClient';
+import { pickForwardedHeaders } from '../sending/serviceClient';
 import { formatWorkerStatus } from '../choosing/workerStatus';
 
 /**
  * A request beyond its deadline may still be served while lower tiers hold slots; then it is given
  * up.
  */
-const WAIT_SLACK_MS = 30_000;
+const WAIT_EXTENSION_MS = 30_000;
 /** An answer that has begun is relayed to its end, however late, within this. */
-const RELAY_LIMIT_MS = 1_800_000;
+const RELAY_TIMEOUT_MS = 1_800_000;
 /** How long a repeatable answer goes on without its caller before it is cancelled. */
-const CALLER_GRACE_MS = 10_000;
+const DISCONNECT_GRACE_MS = 10_000;
 /** How often a backend server is asked to announce itself. */
-const ANNOUNCE_MS = 1_000;
+const ANNOUNCE_INTERVAL_MS = 1_000;
 const BEARER = /^Bearer\s+(\S.*)$/i;
 
 /** What the caller-facing API of an entry is made of. */
@@ -60,19 +60,19 @@
 }
 
 /** A completion request that was checked. */
-export interface CheckedCall {
+export interface CheckedCompletion {
   readonly request: CallerRequest;
   readonly headers: CallerHeaders;
 }
 
 /** A call to a plain service. */
-export interface ServiceInputCall {
+export interface ServiceCallInput {
   readonly name: string;
   readonly method: string;
   readonly path: string;
   readonly headers: CallerHeaders;
   readonly body: Buffer;
-  readonly isGone: () => boolean;
+  readonly isDisconnected: () => boolean;
 }
 
 /** One entry VM that a caller may use. */
@@ -102,17 +102,17 @@
   private readonly accountByHash = new Map<string, KnownAccount>();
 
   constructor(private readonly parts: CallerApiParts) {
-    parts.configuration.listen({
-      noteManifest: (manifest) => this.indexAccounts(manifest),
-      noteMembers: () => undefined,
+    parts.configuration.addListener({
+      onManifestChange: (manifest) => this.indexAccounts(manifest),
+      onMembersChange: () => undefined,
     });
   }
 
   /** Checks a completion request. */
-  readCompletion(path: string, body: Buffer, headers: CallerHeaders): CheckedCall {
+  readCompletion(path: string, body: Buffer, headers: CallerHeaders): CheckedCompletion {
     const manifest = this.requireServing();
     const known = this.findAccount(headers);
-    this.requireSize(body, manifest);
+    this.checkBodySize(body, manifest);
     const request = readCompletionRequest({
       id: this.makeId(), path, text: body.toString(), headers, known, manifest,
     });
@@ -121,25 +121,25 @@
 
   /** Runs a completion; resolves when the answer is whole, throws when there is none. */
   async runCompletion(
-    { request, headers }: CheckedCall,
+    { request, headers }: CheckedCompletion,
     sink: AnswerSink,
-    caller: CallerLink,
+    caller: CallerConnection,
   ): Promise<void> {
     await this.runJob(request, headers, sink, caller, (job) => this.parts.models.run(job));
   }
 
   /** Calls a plain service. */
-  async callService(call: ServiceInputCall): Promise<ServiceAnswer> {
+  async callService(call: ServiceCallInput): Promise<ServiceAnswer> {
     const manifest = this.requireServing();
     const known = this.findAccount(call.headers);
-    this.requireSize(call.body, manifest);
+    this.checkBodySize(call.body, manifest);
     const request = readServiceRequest({
       ...call, id: this.makeId(), known, manifest,
     });
     const sink: AnswerSink = { deliver: async () => undefined, end: async () => undefined };
-    const caller: CallerLink = { isGone: call.isGone, onGone: () => undefined };
+    const caller: CallerConnection = { isDisconnected: call.isDisconnected, onDisconnect: () => undefined };
     const dispatch = {
-      method: call.method, headers: pickPassedHeaders(call.headers), body: call.body,
+      method: call.method, headers: pickForwardedHeaders(call.headers), body: call.body,
     };
     return this.runJob(
       request,
@@ -156,7 +156,7 @@
     const known = this.findAccount(headers);
     const zone = String(headers[CALLER_HEADERS.zone] ?? this.parts.zone);
     const ranked = rankEntries(this.parts.configuration.members, known.name, zone);
-    const older = this.findOlder(manifest, known);
+    const older = this.findOlderAddresses(manifest, known);
     return {
       entries: ranked.map(
         ({ id, callerAddress, zone: at }) => ({ id, address: callerAddress, zone: at }),
@@ -170,7 +170,7 @@
   async announce(body: Buffer): Promise<{ readonly nextMs: number }> {
     const manifest = this.requireServing(true);
     await this.parts.scheduler.announce(readAnnouncement(body.toString(), manifest));
-    return { nextMs: ANNOUNCE_MS };
+    return { nextMs: ANNOUNCE_INTERVAL_MS };
   }
 
   /** What this entry has in force. */
@@ -211,7 +211,7 @@
     request: CallerRequest,
     headers: CallerHeaders,
     sink: AnswerSink,
-    caller: CallerLink,
+    caller: CallerConnection,
     run: (job: RequestJob) => Promise<Result>,
   ): Promise<Result> {
     const {
@@ -222,7 +222,7 @@
     });
     const job = this.makeJob(request, sink, caller, below);
     active.add(request.id);
-    budget.noteRequest();
+    budget.countRequest();
     try {
       const result = await run(job);
       metrics.requests.inc({ tier: request.tier, code: 0 });
@@ -231,7 +231,7 @@
     } catch (thrown) {
       const error = toBeechliftError(thrown);
       metrics.requests.inc({ tier: request.tier, code: error.number });
-      this.logRefusal(request, error);
+      this.logFailure(request, error);
       failHop(span, error.code);
       throw error;
     } finally {
@@ -239,7 +239,7 @@
     }
   }
 
-  private logRefusal(request: CallerRequest, error: BeechliftError): void {
+  private logFailure(request: CallerRequest, error: BeechliftError): void {
     const level = error.code === 'internalFailure' ? 'error' : 'info';
     this.parts.logger[level]('request ended without an answer', {
       requestId: request.id,
@@ -253,12 +253,12 @@
   private makeJob(
     request: CallerRequest,
     sink: AnswerSink,
-    caller: CallerLink,
+    caller: CallerConnection,
     context: RequestJob['context'],
   ): RequestJob {
     const { clock, claims } = this.parts;
-    const makeWaiting = () => new Operation({
-      timeoutMs: request.deadlineMs + WAIT_SLACK_MS, clock,
+    const makeWaitOperation = () => new Operation({
+      timeoutMs: request.deadlineMs + WAIT_EXTENSION_MS, clock,
     });
     const job: RequestJob = {
       request,
@@ -266,13 +266,13 @@
       caller,
       context,
       claim: new RequestClaim(request, claims),
-      waiting: makeWaiting(),
-      makeWaiting,
-      relaying: new Operation({ timeoutMs: RELAY_LIMIT_MS, clock }),
+      waitOperation: makeWaitOperation(),
+      makeWaitOperation: makeWaitOperation,
+      relayOperation: new Operation({ timeoutMs: RELAY_TIMEOUT_MS, clock }),
       startedAt: clock.now(),
-      attempts: 0,
+      unexecutedDispatches: 0,
     };
-    caller.onGone(() => this.handleGone(job));
+    caller.onDisconnect(() => this.handleDisconnect(job));
     return job;
   }
 
@@ -281,30 +281,30 @@
    * when nobody can ask for it again, after a grace when it may be repeated, and never when it may
    * not.
    */
-  private handleGone(job: RequestJob): void {
-    job.waiting.cancel('caller gone');
+  private handleDisconnect(job: RequestJob): void {
+    job.waitOperation.cancel('caller gone');
     if (!job.request.isIdempotent) return;
-    const graceMs = job.claim.isKeyed ? CALLER_GRACE_MS : 0;
-    setTimeout(() => job.relaying.cancel('caller gone'), graceMs).unref();
+    const graceMs = job.claim.hasKey ? DISCONNECT_GRACE_MS : 0;
+    setTimeout(() => job.relayOperation.cancel('caller gone'), graceMs).unref();
   }
 
   private makeId(): string {
     return `${this.parts.id}-${randomUUID()}`;
   }
 
-  private requireServing(evenLeaving = false): Manifest {
+  private requireServing(allowLeaving = false): Manifest {
     const { configuration, id, isLeaving } = this.parts;
     const { manifest } = configuration;
     if (!manifest || !configuration.isServing) {
       throw new BeechliftError('configurationStale', `entry VM "${id}" holds no lease on the configuration`, { retryAfterMs: 1_000 });
     }
-    if (isLeaving() && !evenLeaving) {
+    if (isLeaving() && !allowLeaving) {
       throw new BeechliftError('entryLeaving', `entry VM "${id}" is shutting down`, { retryAfterMs: 0 });
     }
     return manifest;
   }
 
-  private requireSize(body: Buffer, { limits }: Manifest): void {
+  private checkBodySize(body: Buffer, { limits }: Manifest): void {
     if (body.length <= limits.bodyBytes) return;
     throw new BeechliftError('bodyTooLarge', `the body has ${body.length} bytes, at most ${limits.bodyBytes} are taken`);
   }
@@ -327,17 +327,17 @@
   }
 
   /** Sticky by account: the same accounts stay with the older scheduler while the share stands. */
-  private findOlder(
+  private findOlderAddresses(
     manifest: Manifest,
     { name, account }: KnownAccount,
   ): readonly string[] | undefined {
-    const place = parseInt(computeSha256(`migration:${name}`).slice(0, 8), 16) / 0x1_0000_0000;
+    const hashFraction = parseInt(computeSha256(`migration:${name}`).slice(0, 8), 16) / 0x1_0000_0000;
     const rules = [
       manifest.migration[name], ...account.tiers.map((tier) => manifest.migration[tier]),
     ];
     const rule = rules.find(
       (item, position) => item && (position === 0 ? item.of === 'account' : item.of === 'tier'),
     );
-    return rule && place >= rule.share ? rule.olderAddresses : undefined;
+    return rule && hashFraction >= rule.share ? rule.olderAddresses : undefined;
   }
 }
--- a/src/entry/callers/callerRequest.ts
+++ b/src/entry/callers/callerRequest.ts
@@ -65,7 +65,7 @@
 
 const hashText = (text: string): string => createHash('sha1').update(text).digest('base64url');
 
-const listPrefixes = (target: string, prompt: string): string[] => PREFIX_TOKENS
+const hashPrefixes = (target: string, prompt: string): string[] => PREFIX_TOKENS
   .map((tokens) => tokens * CHARACTERS_PER_TOKEN)
   .filter((length) => prompt.length >= length)
   .map((length) => hashText(`${target}\n${prompt.slice(0, length)}`));
@@ -114,28 +114,28 @@
  * const tier = pickTier(manifest, known, request.headers);
  */
 export const pickTier = (known: KnownAccount, headers: CallerHeaders): string => {
-  const asked = readHeader(headers, CALLER_HEADERS.tier);
+  const requestedTier = readHeader(headers, CALLER_HEADERS.tier);
   const { tiers } = known.account;
-  if (asked === '') return tiers[0] ?? '';
-  if (tiers.includes(asked)) return asked;
-  throw new BeechliftError('tierNotGranted', `account "${known.name}" holds ${tiers.map((tier) => `"${tier}"`).join(', ')}, not "${asked.slice(0, 64)}"`);
+  if (requestedTier === '') return tiers[0] ?? '';
+  if (tiers.includes(requestedTier)) return requestedTier;
+  throw new BeechliftError('tierNotGranted', `account "${known.name}" holds ${tiers.map((tier) => `"${tier}"`).join(', ')}, not "${requestedTier.slice(0, 64)}"`);
 };
 
-const readDeadline = (headers: CallerHeaders, longest: number): number => {
+const readDeadline = (headers: CallerHeaders, maxMs: number): number => {
   const text = readHeader(headers, CALLER_HEADERS.deadline);
-  if (text === '') return longest;
+  if (text === '') return maxMs;
   if (!DEADLINE_PATTERN.test(text) || Number(text) === 0) {
     throw new BeechliftError('invalidRequest', `${CALLER_HEADERS.deadline}: expected milliseconds from 1 to 99999999, got "${text.slice(0, 60)}"`);
   }
-  return Math.min(longest, Number(text));
+  return Math.min(maxMs, Number(text));
 };
 
-type Identity = Pick<CallerRequest, 'idempotencyKey' | 'isIdempotent'>;
+type RequestIdentity = Pick<CallerRequest, 'idempotencyKey' | 'isIdempotent'>;
 
-const readIdentity = (headers: CallerHeaders, isRepeatable: boolean): Identity => {
+const readIdentity = (headers: CallerHeaders, isRepeatable: boolean): RequestIdentity => {
   const idempotencyKey = readHeader(headers, CALLER_HEADERS.idempotencyKey);
-  const marked = readHeader(headers, CALLER_HEADERS.nonIdempotent).toLowerCase() === 'true';
-  const isIdempotent = isRepeatable && !marked;
+  const isMarkedNonIdempotent = readHeader(headers, CALLER_HEADERS.nonIdempotent).toLowerCase() === 'true';
+  const isIdempotent = isRepeatable && !isMarkedNonIdempotent;
   if (idempotencyKey.length > MAX_KEY_LENGTH) {
     throw new BeechliftError('invalidRequest', `Idempotency-Key: expected at most ${MAX_KEY_LENGTH} characters, got ${idempotencyKey.length}`);
   }
@@ -203,7 +203,7 @@
     stream: body.stream === true,
     promptTokens,
     maxTokens: readMaxTokens(body.max_tokens),
-    prefixes: listPrefixes(target, prompt),
+    prefixes: hashPrefixes(target, prompt),
     deadlineMs: readDeadline(headers, manifest.tiers[tier]?.totalMs ?? 0),
     ...readIdentity(headers, true),
   };
@@ -242,7 +242,7 @@
   const tier = pickTier(known, headers);
   const pool = findPool(manifest, 'services', name);
   if (pool === undefined) throw new BeechliftError('unknownService', `no pool carries service "${name.slice(0, 128)}"`);
-  const longest = Math.min(service.timeoutMs, manifest.tiers[tier]?.totalMs ?? service.timeoutMs);
+  const maxMs = Math.min(service.timeoutMs, manifest.tiers[tier]?.totalMs ?? service.timeoutMs);
   return {
     id,
     account: known.name,
@@ -256,7 +256,7 @@
     promptTokens: 1,
     maxTokens: 1,
     prefixes: [],
-    deadlineMs: readDeadline(headers, longest),
+    deadlineMs: readDeadline(headers, maxMs),
     ...readIdentity(headers, service.repeatable.includes(method)),
   };
 };
--- a/src/entry/choosing/announcementMemo.ts
+++ b/src/entry/choosing/announcementCache.ts
@@ -3,17 +3,17 @@
 import type { Announcement } from '../../protocol/generated/beechlift';
 
 /** How long an announcement is good for an owner that takes over. */
-const KEPT_MS = 3_000;
+const MAX_AGE_MS = 3_000;
 
 /** Most announcements kept; more than a site's backend servers. */
-const MAX_KEPT = 10_000;
+const MAX_ANNOUNCEMENTS = 10_000;
 
-interface KeptAnnouncement {
+interface CachedAnnouncement {
   readonly announcement: Announcement;
   readonly at: number;
 }
 
-const nameStart = ({ id, incarnation }: Announcement): string => JSON.stringify([id, incarnation]);
+const formatIncarnationKey = ({ id, incarnation }: Announcement): string => JSON.stringify([id, incarnation]);
 
 /**
  * What backend servers said here of late, for an entry that takes a pool over. Knows nothing of the
@@ -28,34 +28,34 @@
  * @example
  * const isNews = memo.keep(announcement, clock.now());
  */
-export class AnnouncementMemo {
-  private readonly kept = new LRUCache<string, KeptAnnouncement>({ max: MAX_KEPT });
+export class AnnouncementCache {
+  private readonly cached = new LRUCache<string, CachedAnnouncement>({ max: MAX_ANNOUNCEMENTS });
 
   /** When each start of a server was last heard to leave. */
-  private readonly leftAt = new LRUCache<string, number>({ max: MAX_KEPT });
+  private readonly leftAt = new LRUCache<string, number>({ max: MAX_ANNOUNCEMENTS });
 
   /**
    * Keeps an announcement.
    *
    * @returns whether it says for the first time here that this start of the server leaves
    */
-  keep(announcement: Announcement, now: number): boolean {
-    const start = nameStart(announcement);
-    const leftAt = this.leftAt.get(start);
+  store(announcement: Announcement, now: number): boolean {
+    const incarnationKey = formatIncarnationKey(announcement);
+    const leftAt = this.leftAt.get(incarnationKey);
     const isLeaving = announcement.state === 'leaving';
-    const isOvertaken = leftAt !== undefined && now - leftAt < ANNOUNCEMENT_FLIGHT_MS;
-    if (!isLeaving && isOvertaken) return false;
+    const mayBeOutdated = leftAt !== undefined && now - leftAt < ANNOUNCEMENT_FLIGHT_MS;
+    if (!isLeaving && mayBeOutdated) return false;
     // A server that is ready after all may leave again: that is news once more.
-    if (isLeaving) this.leftAt.set(start, now);
-    else this.leftAt.delete(start);
-    this.kept.set(announcement.id, { announcement, at: now });
+    if (isLeaving) this.leftAt.set(incarnationKey, now);
+    else this.leftAt.delete(incarnationKey);
+    this.cached.set(announcement.id, { announcement, at: now });
     return isLeaving && leftAt === undefined;
   }
 
   /** Lists what was said of late. */
   list(now: number): readonly Announcement[] {
-    return [...this.kept.values()]
-      .filter(({ at }) => now - at <= KEPT_MS)
+    return [...this.cached.values()]
+      .filter(({ at }) => now - at <= MAX_AGE_MS)
       .map(({ announcement }) => announcement);
   }
 }
--- a/src/entry/choosing/announcementSpread.ts
+++ b/src/entry/choosing/announcementForwarder.ts
@@ -5,25 +5,25 @@
 import type { LinkTable } from '../../wire/linkTable';
 import { toPeerError } from '../../wire/peerError';
 import type { Configuration } from '../inForce/configuration';
-import { AnnouncementMemo } from './announcementMemo';
+import { AnnouncementCache } from './announcementCache';
 
 /** How long another entry may take to answer, in milliseconds. */
-const FORWARD_MS = 800;
+const FORWARD_TIMEOUT_MS = 800;
 
 /** What spreading announcements needs. */
-export interface AnnouncementSpreadParts {
+export interface AnnouncementForwarderParts {
   /** Id of this entry. */
   readonly id: string;
   readonly configuration: Configuration;
   readonly peers: LinkTable<PeerClient>;
   readonly clock: Clock;
   /** Whether a pool has one owner for all entries; without, each takes in what it hears itself. */
-  readonly isShared: boolean;
+  readonly hasSharedOwner: boolean;
   readonly findOwner: (pool: string) => Member | undefined;
   /** Asks control for the members as they are now. */
   readonly refreshView: () => Promise<unknown>;
   /** Gives an announcement to the pool's owner, where that is this entry. */
-  readonly take: (announcement: Announcement) => void;
+  readonly applyAnnouncement: (announcement: Announcement) => void;
 }
 
 /**
@@ -32,10 +32,10 @@
  * @example
  * await spread.announce(announcement);
  */
-export class AnnouncementSpread {
-  private readonly memo = new AnnouncementMemo();
+export class AnnouncementForwarder {
+  private readonly cache = new AnnouncementCache();
 
-  constructor(private readonly parts: AnnouncementSpreadParts) {}
+  constructor(private readonly parts: AnnouncementForwarderParts) {}
 
   /**
    * Brings an announcement to the pool's owner, and keeps it for an owner that takes over. That a
@@ -44,18 +44,18 @@
    * may own the pool already, with a "ready" that it heard since.
    */
   async announce(announcement: Announcement): Promise<void> {
-    const isNews = this.keep(announcement);
+    const isNewlyLeaving = this.store(announcement);
     const {
-      findOwner, isShared, refreshView, take,
+      findOwner, hasSharedOwner: hasSharedOwner, refreshView, applyAnnouncement: applyAnnouncement,
     } = this.parts;
-    if (isNews && isShared) await refreshView();
+    if (isNewlyLeaving && hasSharedOwner) await refreshView();
     const owner = findOwner(announcement.pool);
     if (!owner) throw new BeechliftError('ownerMoved', `no entry VM owns pool "${announcement.pool}" yet`);
-    if (!isShared) {
-      take(announcement);
+    if (!hasSharedOwner) {
+      applyAnnouncement(announcement);
       return;
     }
-    if (isNews) await this.tellOthers(announcement, owner);
+    if (isNewlyLeaving) await this.forwardToOthers(announcement, owner);
     await this.forward(owner, announcement);
   }
 
@@ -63,22 +63,22 @@
    * Takes in an announcement that another entry forwarded. One that leaves is handed on once to
    * whom this entry takes for the owner, as the teller may know an older view.
    */
-  async announceHere(announcement: Announcement): Promise<void> {
-    const { id, findOwner, take } = this.parts;
-    const isNews = announcement.state === 'leaving' && this.keep(announcement);
-    take(announcement);
+  async handleForwarded(announcement: Announcement): Promise<void> {
+    const { id, findOwner, applyAnnouncement: applyAnnouncement } = this.parts;
+    const isNewlyLeaving = announcement.state === 'leaving' && this.store(announcement);
+    applyAnnouncement(announcement);
     const owner = findOwner(announcement.pool);
-    if (isNews && owner && owner.id !== id) await this.forward(owner, announcement);
+    if (isNewlyLeaving && owner && owner.id !== id) await this.forward(owner, announcement);
   }
 
   /** Lists what an owner that takes over begins with. */
-  listKept(): readonly Announcement[] {
-    return this.memo.list(this.parts.clock.now());
+  listRecent(): readonly Announcement[] {
+    return this.cache.list(this.parts.clock.now());
   }
 
   /** Announces what is kept once more: an owner that took over learns of it now. */
-  repeat(): void {
-    this.listKept().forEach((announcement) => {
+  announceAgain(): void {
+    this.listRecent().forEach((announcement) => {
       this.announce(announcement).catch(() => undefined);
     });
   }
@@ -87,14 +87,14 @@
    * Guards a pool's new owner against what it heard before it was a member: nobody told it then
    * who leaves.
    */
-  private keep(announcement: Announcement): boolean {
+  private store(announcement: Announcement): boolean {
     const { configuration, id, clock } = this.parts;
     if (!configuration.members.some((member) => member.id === id)) return false;
-    return this.memo.keep(announcement, clock.now());
+    return this.cache.store(announcement, clock.now());
   }
 
   /** An entry that doesn't answer in time is not waited for: its own view then ends soon. */
-  private async tellOthers(announcement: Announcement, owner: Member): Promise<void> {
+  private async forwardToOthers(announcement: Announcement, owner: Member): Promise<void> {
     const others = this.parts.configuration.members
       .filter(({ id }) => id !== owner.id && id !== this.parts.id);
     await Promise.allSettled(others.map((member) => this.forward(member, announcement)));
@@ -102,13 +102,13 @@
 
   private async forward(member: Member, announcement: Announcement): Promise<void> {
     if (member.id === this.parts.id) {
-      this.parts.take(announcement);
+      this.parts.applyAnnouncement(announcement);
       return;
     }
     await this.parts.peers.find(member.peerAddress).call<Announcement, object>(
       (stub) => stub.forwardAnnouncement.bind(stub),
       announcement,
-      new Operation({ timeoutMs: FORWARD_MS }),
+      new Operation({ timeoutMs: FORWARD_TIMEOUT_MS }),
     ).catch((thrown: unknown) => {
       throw toPeerError(thrown, 'ownerMoved');
     });
--- a/src/entry/choosing/orderSender.ts
+++ b/src/entry/choosing/orderSender.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '../../telemetry/logger';
 import type { Metrics } from '../../telemetry/metrics';
 
-const results: Readonly<Record<number, OrderResult>> = { 200: 'taken', 202: 'taken', 409: 'outbid' };
+const resultByStatus: Readonly<Record<number, OrderResult>> = { 200: 'taken', 202: 'taken', 409: 'outbid' };
 
 /**
  * Sends orders to backend servers: the whole state that one is to carry, with a fencing number.
@@ -20,7 +20,7 @@
   /** Sends one order; what the server carries is read back from its announcements. */
   async send(address: string, desired: DesiredState, fencing: number): Promise<OrderResult> {
     const result = await this.put(address, { ...desired, fencing })
-      .then((reply) => this.judge(address, reply, fencing))
+      .then((reply) => this.readResult(address, reply, fencing))
       .catch((thrown: unknown): OrderResult => {
         this.logger.warn('order not delivered, it is repeated', { address, cause: toBeechliftError(thrown).message });
         return 'failed';
@@ -43,12 +43,12 @@
     return response;
   }
 
-  private judge(
+  private readResult(
     address: string,
     { statusCode }: Dispatcher.ResponseData,
     fencing: number,
   ): OrderResult {
-    const result = results[statusCode] ?? 'failed';
+    const result = resultByStatus[statusCode] ?? 'failed';
     if (result !== 'taken') this.logger.warn('order refused', { address, statusCode, fencing });
     return result;
   }
--- a/src/entry/choosing/movedReply.ts
+++ b/src/entry/choosing/ownerMovedReply.ts
@@ -7,7 +7,7 @@
  * @example
  * resolve(makeMovedReply('another entry VM owns pool "engines"'));
  */
-export const makeMovedReply = (message: string): AskReply => ({
+export const makeOwnerMovedReply = (message: string): AskReply => ({
   code: resultCodes.ownerMoved.number,
   retryAfterMs: 0,
   workerId: '',
--- a/src/entry/choosing/poolOwner.ts
+++ b/src/entry/choosing/poolOwner.ts
@@ -9,7 +9,7 @@
   ScheduleEffect, ScheduleEvent, ScheduleTables,
 } from '../../core/schedule/scheduleTypes';
 import type { Clock } from '../../utils/clock';
-import { makeMovedReply } from './movedReply';
+import { makeOwnerMovedReply } from './ownerMovedReply';
 
 type EffectOf<Kind extends ScheduleEffect['kind']> = Extract<ScheduleEffect, { kind: Kind }>;
 
@@ -45,7 +45,7 @@
   toReply[effect.kind] as (effect: Decision) => AskReply
 )(effect);
 
-const dropReport = (ask: AskRequest): ReportRequest => ({
+const buildDropReport = (ask: AskRequest): ReportRequest => ({
   requestId: ask.requestId,
   entryId: ask.entryId,
   pool: ask.pool,
@@ -58,7 +58,7 @@
 });
 
 /** A question that is not answered yet. */
-interface OpenAsk {
+interface PendingAsk {
   readonly askNumber: number;
   readonly resolve: (reply: AskReply) => void;
 }
@@ -71,7 +71,7 @@
  * const reply = await owner.ask(request);
  */
 export class PoolOwner {
-  private readonly open = new Map<string, OpenAsk>();
+  private readonly pendingAsks = new Map<string, PendingAsk>();
 
   constructor(
     readonly tables: ScheduleTables,
@@ -85,13 +85,13 @@
    */
   ask(ask: AskRequest): Promise<AskReply> {
     const { requestId, askNumber } = ask;
-    const before = this.open.get(requestId);
-    const askedAnew = makeMovedReply(`request "${requestId}" was asked for again since`);
-    if (before && before.askNumber > askNumber) return Promise.resolve(askedAnew);
-    before?.resolve(askedAnew);
+    const previous = this.pendingAsks.get(requestId);
+    const replacedReply = makeOwnerMovedReply(`request "${requestId}" was asked for again since`);
+    if (previous && previous.askNumber > askNumber) return Promise.resolve(replacedReply);
+    previous?.resolve(replacedReply);
     return new Promise((resolve) => {
-      this.open.set(requestId, { askNumber, resolve });
-      this.run({ kind: 'ask', ask });
+      this.pendingAsks.set(requestId, { askNumber, resolve });
+      this.handleEvent({ kind: 'ask', ask });
     });
   }
 
@@ -102,19 +102,19 @@
    * for the earlier number only.
    */
   drop(ask: AskRequest): void {
-    const open = this.open.get(ask.requestId);
-    if (open?.askNumber === ask.askNumber) this.open.delete(ask.requestId);
-    this.run({ kind: 'report', report: dropReport(ask) });
+    const pending = this.pendingAsks.get(ask.requestId);
+    if (pending?.askNumber === ask.askNumber) this.pendingAsks.delete(ask.requestId);
+    this.handleEvent({ kind: 'report', report: buildDropReport(ask) });
   }
 
   /** Notes how a granted request goes. */
   report(report: ReportRequest): void {
-    this.run({ kind: 'report', report });
+    this.handleEvent({ kind: 'report', report });
   }
 
   /** Notes all that an entry runs. */
   register(register: RegisterRequest): void {
-    this.run({ kind: 'register', register });
+    this.handleEvent({ kind: 'register', register });
   }
 
   /** Notes what a backend server says of itself. */
@@ -124,11 +124,11 @@
     if (!workers.has(announcement.id) && workers.size >= workersPerPool) {
       throw new BeechliftError('tooManyBackends', `pool "${pool}" has ${workers.size} backend servers, at most ${workersPerPool} are taken`);
     }
-    this.run({ kind: 'announce', announcement });
+    this.handleEvent({ kind: 'announce', announcement });
   }
 
   /** Runs an event and answers whoever it decides on. */
-  run(event: ScheduleEvent): void {
+  handleEvent(event: ScheduleEvent): void {
     handleScheduleEvent(this.tables, event, this.clock.now())
       .forEach((effect) => {
         if (effect.kind === 'order') this.sendOrder(effect);
@@ -138,15 +138,15 @@
 
   /** Answers all that wait, when another entry owns the pool. */
   close(): void {
-    const all = [...this.open.values()];
-    this.open.clear();
-    const moved = makeMovedReply(`another entry VM owns pool "${this.tables.pool}"`);
-    all.forEach(({ resolve }) => resolve(moved));
+    const pendingAsks = [...this.pendingAsks.values()];
+    this.pendingAsks.clear();
+    const moved = makeOwnerMovedReply(`another entry VM owns pool "${this.tables.pool}"`);
+    pendingAsks.forEach(({ resolve }) => resolve(moved));
   }
 
   private answer(effect: Decision): void {
-    const open = this.open.get(effect.requestId);
-    this.open.delete(effect.requestId);
-    open?.resolve(buildReply(effect));
+    const pending = this.pendingAsks.get(effect.requestId);
+    this.pendingAsks.delete(effect.requestId);
+    pending?.resolve(buildReply(effect));
   }
 }
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -13,14 +13,14 @@
 import { Operation } from '../../utils/operation';
 import type { LinkTable } from '../../wire/linkTable';
 import type { Configuration } from '../inForce/configuration';
-import { AnnouncementSpread } from './announcementSpread';
-import { makeMovedReply } from './movedReply';
+import { AnnouncementForwarder } from './announcementForwarder';
+import { makeOwnerMovedReply } from './ownerMovedReply';
 import type { OrderSender } from './orderSender';
 import { PoolOwner } from './poolOwner';
 import type { OrderEffect } from './poolOwner';
 
-const SHORT_TIMEOUT_MS = 800;
-const MOVED_RETRY_MS = 100;
+const PEER_TIMEOUT_MS = 800;
+const OWNER_RETRY_MS = 100;
 /** An earlier owner may go on granting until it hears of the view or its lease ends. */
 const HANDOVER_MS = GRANT_MS + 3_000;
 
@@ -53,7 +53,7 @@
 export class Scheduler {
   private readonly owners = new Map<string, PoolOwner>();
 
-  private readonly spread: AnnouncementSpread;
+  private readonly forwarder: AnnouncementForwarder;
 
   /** View in which each pool's owner was last told that nothing runs here. */
   private readonly registeredEmpty = new Map<string, number>();
@@ -65,15 +65,15 @@
 
   constructor(private readonly parts: SchedulerParts) {
     this.policy = parts.policy ?? DEFAULT_POLICY;
-    this.spread = new AnnouncementSpread({
+    this.forwarder = new AnnouncementForwarder({
       ...parts,
-      isShared: this.policy.name === 'owner',
-      findOwner: (pool) => this.findOwnerOf(pool),
-      take: (announcement) => this.findOwned(announcement.pool)?.announce(announcement),
+      hasSharedOwner: this.policy.name === 'owner',
+      findOwner: (pool) => this.findOwnerMember(pool),
+      applyAnnouncement: (announcement) => this.findOrTakeOver(announcement.pool)?.announce(announcement),
     });
-    parts.configuration.listen({
-      noteManifest: () => this.updateOwners(),
-      noteMembers: (members) => this.handleView(members),
+    parts.configuration.addListener({
+      onManifestChange: () => this.updateOwners(),
+      onMembersChange: (members) => this.handleView(members),
     });
   }
 
@@ -84,29 +84,29 @@
 
   /** Waits for a slot at the pool's owner; asks the new owner when the pool moves meanwhile. */
   async ask(
-    question: Omit<AskRequest, 'askNumber'>,
+    fields: Omit<AskRequest, 'askNumber'>,
     operation: Operation,
     headers: Readonly<Record<string,
       string>> = {},
   ): Promise<AskReply> {
     if (operation.signal.aborted) throw new BeechliftError('callerGone', 'the caller is gone');
     this.askNumber += 1;
-    const ask = { ...question, askNumber: this.askNumber };
-    const reply = await this.askOnce(ask, operation, headers);
+    const ask = { ...fields, askNumber: this.askNumber };
+    const reply = await this.askOwner(ask, operation, headers);
     if (reply && reply.code !== resultCodes.ownerMoved.number) return reply;
-    if (operation.remainingMs <= MOVED_RETRY_MS) {
-      throw new BeechliftError('noSlotInTime', `the owner of pool "${ask.pool}" did not answer in time`, { steps: operation.steps, retryAfterMs: SHORT_TIMEOUT_MS });
+    if (operation.remainingMs <= OWNER_RETRY_MS) {
+      throw new BeechliftError('noSlotInTime', `the owner of pool "${ask.pool}" did not answer in time`, { steps: operation.steps, retryAfterMs: PEER_TIMEOUT_MS });
     }
     operation.note(`owner of pool "${ask.pool}" moved or does not answer`);
-    await pause(MOVED_RETRY_MS);
-    const deadlineMs = Math.max(0, ask.deadlineMs - MOVED_RETRY_MS);
+    await pause(OWNER_RETRY_MS);
+    const deadlineMs = Math.max(0, ask.deadlineMs - OWNER_RETRY_MS);
     return this.ask({ ...ask, deadlineMs }, operation, headers);
   }
 
   /** Asks here, for an entry that takes this one for the owner. */
-  askHere(ask: AskRequest, onCancel: (listener: () => void) => void): Promise<AskReply> {
-    const owner = this.findOwned(ask.pool);
-    if (!owner) return Promise.resolve(this.answerMoved(ask.pool));
+  handleAsk(ask: AskRequest, onCancel: (listener: () => void) => void): Promise<AskReply> {
+    const owner = this.findOrTakeOver(ask.pool);
+    if (!owner) return Promise.resolve(this.makeNotOwnerReply(ask.pool));
     const reply = owner.ask(ask);
     // After the question, as a call may be over before it is handled.
     onCancel(() => owner.drop(ask));
@@ -117,17 +117,17 @@
    * Tells the owner how a granted request goes; what is lost on the way is made good by `register`.
    */
   report(fields: Omit<ReportRequest, 'askNumber'>): void {
-    const owner = this.findOwnerOf(fields.pool);
+    const owner = this.findOwnerMember(fields.pool);
     if (!owner) return;
     const report = { ...fields, askNumber: this.askNumber };
     if (owner.id === this.parts.id) {
-      this.findOwned(report.pool)?.report(report);
+      this.findOrTakeOver(report.pool)?.report(report);
       return;
     }
     this.parts.peers.find(owner.peerAddress).call<ReportRequest, object>(
       (stub) => stub.report.bind(stub) as never,
       report,
-      new Operation({ timeoutMs: SHORT_TIMEOUT_MS }),
+      new Operation({ timeoutMs: PEER_TIMEOUT_MS }),
     ).catch(() => undefined);
   }
 
@@ -142,41 +142,41 @@
       viewNumber: this.parts.configuration.viewNumber,
     }));
     await Promise.allSettled(requests
-      .filter((request) => this.isNews(request))
+      .filter((request) => this.needsRegistration(request))
       .map((request) => this.registerPool(request)));
   }
 
   /** Takes in what another entry runs. */
-  registerHere(request: RegisterRequest): void {
-    this.findOwned(request.pool)?.register(request);
+  handleRegister(request: RegisterRequest): void {
+    this.findOrTakeOver(request.pool)?.register(request);
   }
 
   /** Takes in a report of another entry. */
-  reportHere(report: ReportRequest): void {
-    this.findOwned(report.pool)?.report(report);
+  handleReport(report: ReportRequest): void {
+    this.findOrTakeOver(report.pool)?.report(report);
   }
 
   /** Brings an announcement of a backend server to the pool's owner. */
   announce(announcement: Announcement): Promise<void> {
-    return this.spread.announce(announcement);
+    return this.forwarder.announce(announcement);
   }
 
   /** Takes in an announcement that another entry forwarded. */
-  announceHere(announcement: Announcement): Promise<void> {
-    return this.spread.announceHere(announcement);
+  handleForwardedAnnouncement(announcement: Announcement): Promise<void> {
+    return this.forwarder.handleForwarded(announcement);
   }
 
   /** Runs the systems of all owned pools. */
   tick(): void {
-    this.owners.forEach((owner) => owner.run({ kind: 'tick' }));
+    this.owners.forEach((owner) => owner.handleEvent({ kind: 'tick' }));
   }
 
   /** Whether the owner knows already that nothing runs here; a new owner comes with a new view. */
-  private isNews({ pool, running, viewNumber }: RegisterRequest): boolean {
+  private needsRegistration({ pool, running, viewNumber }: RegisterRequest): boolean {
     return running.length > 0 || this.registeredEmpty.get(pool) !== viewNumber;
   }
 
-  private findOwnerOf(pool: string): Member | undefined {
+  private findOwnerMember(pool: string): Member | undefined {
     const { configuration, id } = this.parts;
     const self = configuration.members.find((member) => member.id === id);
     // The baselines decide at each entry alone.
@@ -184,9 +184,9 @@
     return findOwner(configuration.members, pool);
   }
 
-  private findOwned(pool: string): PoolOwner | undefined {
+  private findOrTakeOver(pool: string): PoolOwner | undefined {
     const known = this.owners.get(pool);
-    if (known || this.findOwnerOf(pool)?.id !== this.parts.id) return known;
+    if (known || this.findOwnerMember(pool)?.id !== this.parts.id) return known;
     return this.takeOver(pool);
   }
 
@@ -203,9 +203,9 @@
     const tables = makeScheduleTables(pool, manifest, others, settledAt, this.policy);
     const owner = new PoolOwner(tables, clock, (order) => this.sendOrder(pool, order));
     this.owners.set(pool, owner);
-    this.spread.listKept()
+    this.forwarder.listRecent()
       .filter((announcement) => announcement.pool === pool)
-      .forEach((announcement) => owner.run({ kind: 'announce', announcement }));
+      .forEach((announcement) => owner.handleEvent({ kind: 'announce', announcement }));
     return owner;
   }
 
@@ -216,22 +216,22 @@
    */
   private sendOrder(pool: string, order: OrderEffect): void {
     const { configuration, id, orders } = this.parts;
-    if (!configuration.isServing || this.findOwnerOf(pool)?.id !== id) return;
+    if (!configuration.isServing || this.findOwnerMember(pool)?.id !== id) return;
     orders.send(order.workerAddress, order.desired, configuration.viewNumber)
       .then((result) => {
-        this.owners.get(pool)?.run({ kind: 'orderAnswered', result });
+        this.owners.get(pool)?.handleEvent({ kind: 'orderAnswered', result });
       })
       .catch(() => undefined);
   }
 
-  private async askOnce(
+  private async askOwner(
     ask: AskRequest,
     operation: Operation,
     headers: Readonly<Record<string, string>>,
   ): Promise<AskReply | undefined> {
-    const member = this.findOwnerOf(ask.pool);
+    const member = this.findOwnerMember(ask.pool);
     if (!member) return undefined;
-    if (member.id === this.parts.id) return this.askOwned(ask, operation);
+    if (member.id === this.parts.id) return this.askLocalOwner(ask, operation);
     try {
       return await this.parts.peers.find(member.peerAddress).call<AskRequest, AskReply>(
         (stub) => stub.ask.bind(stub),
@@ -244,42 +244,42 @@
     }
   }
 
-  private askOwned(ask: AskRequest, operation: Operation): Promise<AskReply> {
+  private askLocalOwner(ask: AskRequest, operation: Operation): Promise<AskReply> {
     return new Promise((resolve) => {
       const drop = () => {
         this.owners.get(ask.pool)?.drop(ask);
-        resolve(this.answerMoved(ask.pool));
+        resolve(this.makeNotOwnerReply(ask.pool));
       };
       operation.signal.addEventListener('abort', drop, { once: true });
-      this.askHere(ask, () => undefined)
+      this.handleAsk(ask, () => undefined)
         .then((reply) => {
           operation.signal.removeEventListener('abort', drop);
           resolve(reply);
         })
-        .catch(() => resolve(this.answerMoved(ask.pool)));
+        .catch(() => resolve(this.makeNotOwnerReply(ask.pool)));
     });
   }
 
-  private answerMoved(pool: string): AskReply {
-    return makeMovedReply(`entry VM "${this.parts.id}" does not own pool "${pool}"`);
+  private makeNotOwnerReply(pool: string): AskReply {
+    return makeOwnerMovedReply(`entry VM "${this.parts.id}" does not own pool "${pool}"`);
   }
 
   private async registerPool(request: RegisterRequest): Promise<void> {
-    const owner = this.findOwnerOf(request.pool);
+    const owner = this.findOwnerMember(request.pool);
     if (!owner) return;
     if (owner.id === this.parts.id) {
-      this.registerHere(request);
+      this.handleRegister(request);
       return;
     }
     await this.parts.peers.find(owner.peerAddress).call<RegisterRequest, object>(
       (stub) => stub.register.bind(stub),
       request,
-      new Operation({ timeoutMs: SHORT_TIMEOUT_MS }),
+      new Operation({ timeoutMs: PEER_TIMEOUT_MS }),
     );
-    this.noteRegistered(request);
+    this.updateRegisteredEmpty(request);
   }
 
-  private noteRegistered({ pool, running, viewNumber }: RegisterRequest): void {
+  private updateRegisteredEmpty({ pool, running, viewNumber }: RegisterRequest): void {
     if (running.length === 0) this.registeredEmpty.set(pool, viewNumber);
     else this.registeredEmpty.delete(pool);
   }
@@ -289,23 +289,23 @@
     if (!manifest) return;
     [...this.owners]
       .filter(([pool]) => !manifest.pools[pool])
-      .forEach(([pool]) => this.giveUp(pool));
-    this.owners.forEach((owner) => owner.run({ kind: 'configure', config: manifest }));
+      .forEach(([pool]) => this.closeOwner(pool));
+    this.owners.forEach((owner) => owner.handleEvent({ kind: 'configure', config: manifest }));
   }
 
   private handleView(members: readonly Member[]): void {
     const entryIds = members.map(({ id }) => id);
     [...this.owners.keys()]
-      .filter((pool) => this.findOwnerOf(pool)?.id !== this.parts.id)
-      .forEach((pool) => this.giveUp(pool));
-    this.owners.forEach((owner) => owner.run({ kind: 'membersChanged', entryIds }));
+      .filter((pool) => this.findOwnerMember(pool)?.id !== this.parts.id)
+      .forEach((pool) => this.closeOwner(pool));
+    this.owners.forEach((owner) => owner.handleEvent({ kind: 'membersChanged', entryIds }));
     this.parts.peers.keep(members.map(({ peerAddress }) => peerAddress));
     this.register().catch(() => undefined);
     // An owner that took over learns of the backend servers now and not at their next announcement.
-    this.spread.repeat();
+    this.forwarder.announceAgain();
   }
 
-  private giveUp(pool: string): void {
+  private closeOwner(pool: string): void {
     this.owners.get(pool)?.close();
     this.owners.delete(pool);
   }
--- a/src/entry/choosing/slotKeeper.ts
+++ b/src/entry/choosing/slotClient.ts
@@ -26,7 +26,7 @@
  * const grant = await slots.take(request, operation, context);
  * slots.finish(request, 'complete', times);
  */
-export class SlotKeeper {
+export class SlotClient {
   constructor(
     private readonly id: string,
     private readonly zone: string,
@@ -42,7 +42,7 @@
    * Guards a slot whose grant crosses the cancellation of its question: neither end of the call
    * hears of the other, so the owner is told that nobody uses it.
    */
-  async take(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
+  async acquire(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
     const { span, below } = this.tracer.startHop(
       'owner',
       parent,
@@ -61,7 +61,7 @@
       this.active.markRunning(request, reply.workerId);
       return reply;
     } catch (error) {
-      if (operation.signal.aborted) this.drop(request);
+      if (operation.signal.aborted) this.releaseUnused(request);
       throw error;
     } finally {
       span.end();
@@ -69,18 +69,18 @@
   }
 
   /** The first token came. */
-  start(request: CallerRequest): void {
+  reportFirstToken(request: CallerRequest): void {
     this.report(request, 'started', 'complete', NO_TIMES);
   }
 
   /** The slot is free again. */
-  finish(request: CallerRequest, outcome: SlotOutcome, times: SlotTimes = NO_TIMES): void {
+  release(request: CallerRequest, outcome: SlotOutcome, times: SlotTimes = NO_TIMES): void {
     this.active.unmarkRunning(request.id);
     this.report(request, 'finished', outcome, times);
   }
 
   /** The slot was never used. */
-  drop(request: CallerRequest): void {
+  releaseUnused(request: CallerRequest): void {
     this.active.unmarkRunning(request.id);
     this.report(request, 'dropped', 'cancelled', NO_TIMES);
   }
--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -24,11 +24,11 @@
 import { RetryBudget } from './sending/retryBudget';
 import { Scheduler } from './choosing/scheduler';
 import { ServiceRunner } from './sending/serviceRunner';
-import { SlotKeeper } from './choosing/slotKeeper';
+import { SlotClient } from './choosing/slotClient';
 
-const TICK_MS = 50;
-const REGISTER_MS = 2_000;
-const DRAIN_POLL_MS = 50;
+const TICK_INTERVAL_MS = 50;
+const REGISTER_INTERVAL_MS = 2_000;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 /** State of an entry as the view shows it. */
 export type MemberState = 'active' | 'leaving' | 'gone';
@@ -98,7 +98,7 @@
     clock,
     listRunning: () => active.listRunning(),
     orders: new OrderSender(metrics, logger),
-    refreshView: () => heartbeat.tellState(),
+    refreshView: () => heartbeat.sendLatestState(),
     policy: policy ?? DEFAULT_POLICY,
   });
   const claims = new ClaimClient(
@@ -106,7 +106,7 @@
     control,
     () => configuration.holders,
   );
-  const slots = new SlotKeeper(
+  const slots = new SlotClient(
     settings.id,
     settings.zone,
     scheduler,
@@ -114,7 +114,7 @@
     tracer,
     () => configuration.viewNumber,
   );
-  const shared = {
+  const runnerParts = {
     slots,
     tracer,
     clock,
@@ -123,8 +123,8 @@
     readManifest: () => requireManifest(configuration),
     isServing: () => configuration.isServing,
   };
-  const models = new ModelRunner({ ...shared, engines });
-  const services = new ServiceRunner(shared);
+  const models = new ModelRunner({ ...runnerParts, engines });
+  const services = new ServiceRunner(runnerParts);
   const api = new CallerApi({
     id: settings.id,
     zone: settings.zone,
@@ -146,16 +146,16 @@
   peerAddress = await server.listen(settings.peerAddress);
   const timers = [
     setInterval(() => {
-      heartbeat.beat().catch(() => undefined);
+      heartbeat.send().catch(() => undefined);
     }, settings.heartbeatMs),
-    setInterval(() => scheduler.tick(), TICK_MS),
+    setInterval(() => scheduler.tick(), TICK_INTERVAL_MS),
     setInterval(() => {
       scheduler.register().catch(() => undefined);
-    }, REGISTER_MS),
+    }, REGISTER_INTERVAL_MS),
   ];
   const waitUntilIdle = async (deadline: number): Promise<void> => {
     if (active.size === 0 || clock.now() > deadline) return;
-    await pause(DRAIN_POLL_MS);
+    await pause(DRAIN_POLL_INTERVAL_MS);
     await waitUntilIdle(deadline);
   };
   /*
@@ -164,13 +164,13 @@
    */
   const drain = async (): Promise<void> => {
     state = 'leaving';
-    await heartbeat.tellState();
+    await heartbeat.sendLatestState();
     await pause(configuration.manifest?.limits.locateMs ?? 0);
     await waitUntilIdle(clock.now() + settings.drainMs);
     state = 'gone';
-    await heartbeat.tellState();
+    await heartbeat.sendLatestState();
   };
-  await heartbeat.beat();
+  await heartbeat.send();
   logger.info('entry serves', { peerAddress });
   return {
     api,
--- a/src/entry/inForce/configuration.ts
+++ b/src/entry/inForce/configuration.ts
@@ -7,8 +7,8 @@
 
 /** Called when a newer manifest or view is in force here. */
 export interface ConfigurationListener {
-  readonly noteManifest: (manifest: Manifest) => void;
-  readonly noteMembers: (members: readonly Member[], viewNumber: number) => void;
+  readonly onManifestChange: (manifest: Manifest) => void;
+  readonly onMembersChange: (members: readonly Member[], viewNumber: number) => void;
 }
 
 /**
@@ -34,7 +34,7 @@
 
   holders: HolderSet = { number: 0, current: [], previous: [] };
 
-  private leaseUntil = 0;
+  private leaseExpiresAt = 0;
 
   private readonly listeners: ConfigurationListener[] = [];
 
@@ -47,7 +47,7 @@
 
   /** Milliseconds that the lease still lasts. */
   get leaseMs(): number {
-    return Math.max(0, this.leaseUntil - this.clock.now());
+    return Math.max(0, this.leaseExpiresAt - this.clock.now());
   }
 
   /** Whether new work may be taken. */
@@ -56,7 +56,7 @@
   }
 
   /** Adds a listener. */
-  listen(listener: ConfigurationListener): void {
+  addListener(listener: ConfigurationListener): void {
     this.listeners.push(listener);
   }
 
@@ -72,7 +72,7 @@
     if (!applied) return false;
     this.applyView(reply);
     if (reply.holders && reply.holders.number >= this.holders.number) this.holders = reply.holders;
-    this.leaseUntil = Math.max(this.leaseUntil, sentAt + reply.leaseMs);
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, sentAt + reply.leaseMs);
     return true;
   }
 
@@ -106,7 +106,7 @@
     }
     this.manifest = next;
     this.digest = reply.manifestDigest;
-    this.listeners.forEach((listener) => listener.noteManifest(next));
+    this.listeners.forEach((listener) => listener.onManifestChange(next));
     return true;
   }
 
@@ -120,6 +120,6 @@
     if (!view || view.number <= this.viewNumber) return;
     this.viewNumber = view.number;
     this.members = view.members;
-    this.listeners.forEach((listener) => listener.noteMembers(view.members, view.number));
+    this.listeners.forEach((listener) => listener.onMembersChange(view.members, view.number));
   }
 }
--- a/src/entry/inForce/heartbeat.ts
+++ b/src/entry/inForce/heartbeat.ts
@@ -11,7 +11,7 @@
 const MAX_CALL_TIMEOUT_MS = 3_200;
 /** A lease with less left than this is renewed through peers when control does not answer. */
 const LOW_LEASE_MS = 2_000;
-const MAX_PEERS_ASKED = 3;
+const MAX_PEERS_PER_RENEWAL = 3;
 
 /** What the heartbeat needs. */
 export interface HeartbeatParts {
@@ -33,37 +33,37 @@
 export class Heartbeat {
   private leaderAddress: string;
 
-  private turn = 0;
+  private rotation = 0;
 
   private timeoutMs = CALL_TIMEOUT_MS;
 
-  private beating: Promise<boolean> | undefined;
+  private inFlight: Promise<boolean> | undefined;
 
   constructor(private readonly parts: HeartbeatParts) {
     this.leaderAddress = parts.controlAddresses[0] ?? '';
   }
 
   /** Sends one heartbeat, unless one is under way already. Returns whether a lease came. */
-  beat(): Promise<boolean> {
-    this.beating ??= this.beatOnce().finally(() => {
-      this.beating = undefined;
+  send(): Promise<boolean> {
+    this.inFlight ??= this.renewLease().finally(() => {
+      this.inFlight = undefined;
     });
-    return this.beating;
+    return this.inFlight;
   }
 
   /** Sends one heartbeat that tells the state as it is now, after any that is under way. */
-  async tellState(): Promise<boolean> {
-    await this.beating;
-    return this.beat();
+  async sendLatestState(): Promise<boolean> {
+    await this.inFlight;
+    return this.send();
   }
 
   /** Asks the leader, then the other replicas, then peers. */
-  private async beatOnce(): Promise<boolean> {
-    const renewed = await this.askControl(this.leaderAddress) || await this.askNextReplica();
+  private async renewLease(): Promise<boolean> {
+    const renewed = await this.renewFromControl(this.leaderAddress) || await this.renewFromNextReplica();
     this.updateTimeout(renewed);
     if (renewed) return true;
     if (this.parts.configuration.leaseMs > LOW_LEASE_MS) return false;
-    return this.askPeers();
+    return this.renewFromPeers();
   }
 
   /*
@@ -86,7 +86,7 @@
     };
   }
 
-  private async askControl(address: string): Promise<boolean> {
+  private async renewFromControl(address: string): Promise<boolean> {
     const { configuration, control, clock } = this.parts;
     const sentAt = clock.now();
     try {
@@ -95,26 +95,26 @@
         this.buildRequest(),
         new Operation({ timeoutMs: this.timeoutMs }),
       );
-      this.noteLeader(address, reply);
+      this.updateLeader(address, reply);
       return configuration.applyReply(reply, sentAt);
     } catch {
       return false;
     }
   }
 
-  private noteLeader(asked: string, reply: HeartbeatReply): void {
-    if (reply.leaseMs > 0) this.leaderAddress = asked;
+  private updateLeader(address: string, reply: HeartbeatReply): void {
+    if (reply.leaseMs > 0) this.leaderAddress = address;
     else if (reply.leaderAddress !== '') this.leaderAddress = reply.leaderAddress;
   }
 
   /** The next replica in turn, which may lead itself or name the leader. */
-  private async askNextReplica(): Promise<boolean> {
+  private async renewFromNextReplica(): Promise<boolean> {
     const { controlAddresses } = this.parts;
-    this.turn += 1;
-    const address = controlAddresses[this.turn % controlAddresses.length] ?? '';
-    const named = this.leaderAddress;
-    if (await this.askControl(address)) return true;
-    return this.leaderAddress === named ? false : this.askControl(this.leaderAddress);
+    this.rotation += 1;
+    const address = controlAddresses[this.rotation % controlAddresses.length] ?? '';
+    const previousLeader = this.leaderAddress;
+    if (await this.renewFromControl(address)) return true;
+    return this.leaderAddress === previousLeader ? false : this.renewFromControl(this.leaderAddress);
   }
 
   /*
@@ -122,17 +122,17 @@
    * much, for as long as that lease lasts. It counts from before this entry asked, so it never
    * outlives the peer's own.
    */
-  private async askPeers(): Promise<boolean> {
+  private async renewFromPeers(): Promise<boolean> {
     const { configuration, readMember } = this.parts;
-    const own = readMember().id;
-    const others = configuration.members.filter(({ id }) => id !== own);
-    const start = this.turn % Math.max(1, others.length);
-    const asked = [...others.slice(start), ...others.slice(0, start)].slice(0, MAX_PEERS_ASKED);
-    const results = await Promise.all(asked.map(({ peerAddress }) => this.askPeer(peerAddress)));
+    const ownId = readMember().id;
+    const others = configuration.members.filter(({ id }) => id !== ownId);
+    const start = this.rotation % Math.max(1, others.length);
+    const selectedPeers = [...others.slice(start), ...others.slice(0, start)].slice(0, MAX_PEERS_PER_RENEWAL);
+    const results = await Promise.all(selectedPeers.map(({ peerAddress }) => this.renewFromPeer(peerAddress)));
     return results.includes(true);
   }
 
-  private async askPeer(address: string): Promise<boolean> {
+  private async renewFromPeer(address: string): Promise<boolean> {
     const { configuration, peers, clock } = this.parts;
     const sentAt = clock.now();
     try {
--- a/src/entry/peers/peerService.ts
+++ b/src/entry/peers/peerService.ts
@@ -18,21 +18,21 @@
   ask: handleUnary(async (request, { headers, onCancel }) => {
     const { span } = tracer.startHop('owner', tracer.readContext(headers), { pool: request.pool, queue: 'here' });
     try {
-      return await scheduler.askHere(request, onCancel);
+      return await scheduler.handleAsk(request, onCancel);
     } finally {
       span.end();
     }
   }),
   report: handleUnary((request) => {
-    scheduler.reportHere(request);
+    scheduler.handleReport(request);
     return {};
   }),
   register: handleUnary((request) => {
-    scheduler.registerHere(request);
+    scheduler.handleRegister(request);
     return {};
   }),
   forwardAnnouncement: handleUnary(async (request) => {
-    await scheduler.announceHere(request);
+    await scheduler.handleForwardedAnnouncement(request);
     return {};
   }),
   readProof: handleUnary((request) => (
--- a/src/entry/sending/answerRelay.ts
+++ b/src/entry/sending/answerRelay.ts
@@ -4,7 +4,7 @@
 import { EngineFailure } from './engineFailure';
 import { EngineRefusal } from './engineRefusal';
 import type { EngineClient, EngineEvent } from './engineClient';
-import { StreamUnknown } from './streamUnknown';
+import { UnknownStreamError } from './unknownStreamError';
 
 /** A stream that was dispatched, and where it can be taken up again. */
 export interface DispatchedStream {
@@ -14,13 +14,13 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-const SILENCE_MS = 5_000;
+const IDLE_TIMEOUT_MS = 5_000;
 const RESUME_PAUSE_MS = 100;
 /** Attempts in a row without a single event, about four seconds. */
 const MAX_FAILED_RESUMES = 8;
 
 /** Milliseconds without a byte after which a connection to an engine is given up. */
-export const ENGINE_SILENCE_MS = SILENCE_MS;
+export const ENGINE_IDLE_TIMEOUT_MS = IDLE_TIMEOUT_MS;
 
 /**
  * Passes the events of one stream on, whole and in order, over as many connections as it takes.
@@ -85,9 +85,9 @@
     const { operation, stream } = this;
     if (!(error instanceof EngineFailure)) throw error;
     operation.note(`stream ${stream.streamId} broke at event ${this.offset}: ${error.message}`);
-    const canGoOn = stream.canResume && this.failedResumes < MAX_FAILED_RESUMES
+    const canRetry = stream.canResume && this.failedResumes < MAX_FAILED_RESUMES
       && operation.remainingMs > 0 && !operation.signal.aborted;
-    if (!canGoOn) {
+    if (!canRetry) {
       throw new BeechliftError('backendFailed', `the stream from ${stream.address} broke and could not be resumed`, {
         run: this.offset > 0 ? 'ran' : 'unknown', steps: operation.steps, cause: error,
       });
@@ -103,10 +103,10 @@
     try {
       return await this.engines.resume({
         address, streamId, headers, fromOffset: this.offset, signal: this.operation.signal,
-      }, SILENCE_MS);
+      }, IDLE_TIMEOUT_MS);
     } catch (error) {
       if (error instanceof EngineRefusal) {
-        throw new StreamUnknown(streamId, this.offset, error.status);
+        throw new UnknownStreamError(streamId, this.offset, error.status);
       }
       throw error;
     }
--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -14,7 +14,7 @@
 import { makeSupersededError } from './supersededError';
 
 /** A claim that this entry has taken. */
-export interface ClaimTicket {
+export interface PreparedClaim {
   readonly key: string;
   readonly ballot: Ballot;
   /**
@@ -35,21 +35,21 @@
 const FIRST_PAUSE_MS = 40;
 const MAX_PAUSE_MS = 500;
 
-const askRound = (
+const runRound = (
   groups: HolderGroups,
-  ask: (holder: Replica) => Promise<ClaimReply>,
+  callHolder: (holder: Replica) => Promise<ClaimReply>,
 ): Promise<Round> => new Promise((resolve) => {
   const replies = new Map<string, ClaimReply>();
   const failed = new Set<string>();
   const failures: string[] = [];
-  const judge = () => {
+  const checkQuorum = () => {
     const state = judgeQuorum(groups, replies, failed);
     if (state !== 'open') resolve({ replies, won: state === 'won', failures });
   };
   const holders = listHolders(groups);
-  if (holders.length === 0) judge();
+  if (holders.length === 0) checkQuorum();
   holders.forEach((holder) => {
-    ask(holder)
+    callHolder(holder)
       .then((reply) => {
         replies.set(holder.id, reply);
       })
@@ -57,7 +57,7 @@
         failed.add(holder.id);
         failures.push(`${holder.id}: ${error.message}`);
       })
-      .finally(judge);
+      .finally(checkQuorum);
   });
 });
 
@@ -66,13 +66,13 @@
   ...failures,
 ].join(', ');
 
-const wasOutbid = ({ replies }: Round): boolean => [...replies.values()]
+const hasHigherBallot = ({ replies }: Round): boolean => [...replies.values()]
   .some(({ code }) => code === resultCodes.ballotTooLow.number);
 
 /** Doubles with every attempt, with a random part, so that two that outbid each other part. */
 const computePauseMs = (attemptsLeft: number): number => {
-  const longest = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (MAX_ATTEMPTS - attemptsLeft));
-  return longest * (0.5 + Math.random() / 2);
+  const maxPauseMs = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (MAX_ATTEMPTS - attemptsLeft));
+  return maxPauseMs * (0.5 + Math.random() / 2);
 };
 
 /**
@@ -93,7 +93,7 @@
   ) {}
 
   /** Takes a claim over from whoever has it, and tells what was agreed on before. */
-  async prepare(key: string, operation: Operation): Promise<ClaimTicket> {
+  async prepare(key: string, operation: Operation): Promise<PreparedClaim> {
     this.sequence += 1;
     const proposer = `${this.proposer}:${this.sequence}`;
     return this.tryPrepare(key, { round: 1, proposer }, operation, MAX_ATTEMPTS);
@@ -103,8 +103,8 @@
    * Writes what becomes of the request; fails when another entry has taken the claim over since, or
    * no majority answers. After a failure nothing may be sent on the strength of this ticket.
    */
-  async accept(ticket: ClaimTicket, value: ClaimValue, operation: Operation): Promise<void> {
-    await this.tryAccept(ticket, value, operation, MAX_ATTEMPTS);
+  async accept(claim: PreparedClaim, value: ClaimValue, operation: Operation): Promise<void> {
+    await this.tryAccept(claim, value, operation, MAX_ATTEMPTS);
   }
 
   /*
@@ -113,27 +113,27 @@
    * claim over meanwhile has a higher ballot, and the next attempt fails.
    */
   private async tryAccept(
-    ticket: ClaimTicket,
+    claim: PreparedClaim,
     value: ClaimValue,
     operation: Operation,
     attempts: number,
   ): Promise<void> {
-    const groups = findHolderGroups(this.readHolders(), ticket.key);
-    const round = await askRound(groups, (holder) => this.call<AcceptClaimRequest>(
+    const groups = findHolderGroups(this.readHolders(), claim.key);
+    const round = await runRound(groups, (holder) => this.call<AcceptClaimRequest>(
       holder,
       'acceptClaim',
       {
-        holderSet: groups.number, key: ticket.key, ballot: ticket.ballot, value,
+        holderSet: groups.number, key: claim.key, ballot: claim.ballot, value,
       },
       operation,
     ));
     if (round.won) return;
     operation.note(`claim "${value.state}" lost: ${formatRound(round)}`);
-    if (wasOutbid(round)) {
+    if (hasHigherBallot(round)) {
       throw makeSupersededError(operation.steps);
     }
-    await this.pauseBeforeNext(operation, attempts);
-    await this.tryAccept(ticket, value, operation, attempts - 1);
+    await this.pauseBeforeRetry(operation, attempts);
+    await this.tryAccept(claim, value, operation, attempts - 1);
   }
 
   private async tryPrepare(
@@ -141,9 +141,9 @@
     ballot: Ballot,
     operation: Operation,
     attempts: number,
-  ): Promise<ClaimTicket> {
+  ): Promise<PreparedClaim> {
     const groups = findHolderGroups(this.readHolders(), key);
-    const round = await askRound(groups, (holder) => this.call<PrepareClaimRequest>(
+    const round = await runRound(groups, (holder) => this.call<PrepareClaimRequest>(
       holder,
       'prepareClaim',
       { holderSet: groups.number, key, ballot },
@@ -151,7 +151,7 @@
     ));
     if (round.won) return { key, ballot, bound: findBoundValue(round.replies.values()) };
     operation.note(`claim: ballot ${ballot.round} lost: ${formatRound(round)}`);
-    await this.pauseBeforeNext(operation, attempts);
+    await this.pauseBeforeRetry(operation, attempts);
     const next = raiseBallot(ballot.proposer, round.replies.values(), ballot);
     return this.tryPrepare(key, next, operation, attempts - 1);
   }
@@ -163,7 +163,7 @@
    * entry still knows, until its next heartbeat brings the newer one. Trying again at once used up
    * all attempts within 20 ms.
    */
-  private async pauseBeforeNext(operation: Operation, attempts: number): Promise<void> {
+  private async pauseBeforeRetry(operation: Operation, attempts: number): Promise<void> {
     if (attempts <= 1 || operation.remainingMs === 0 || operation.signal.aborted) {
       throw new BeechliftError('claimUnavailable', 'no majority of claim holders agreed', { steps: operation.steps });
     }
@@ -186,6 +186,6 @@
 }
 
 /** Whether a claim leaves the way free for a dispatch. */
-export const isFree = ({ bound }: ClaimTicket): boolean => (
+export const canDispatch = ({ bound }: PreparedClaim): boolean => (
   bound === undefined || bound.state === 'released'
 );
--- a/src/entry/sending/engineClient.ts
+++ b/src/entry/sending/engineClient.ts
@@ -49,7 +49,7 @@
 const DONE = '[DONE]';
 
 /** Reads at most so many bytes of an error's body. */
-const readBounded = async (body: Dispatcher.ResponseData['body']): Promise<string> => {
+const readErrorBody = async (body: Dispatcher.ResponseData['body']): Promise<string> => {
   const text = await body.text();
   return text.slice(0, MAX_ERROR_BYTES);
 };
@@ -84,17 +84,17 @@
 
 const readNext = async (
   iterator: AsyncIterator<Buffer>,
-  silenceMs: number,
+  idleTimeoutMs: number,
 ): Promise<IteratorResult<Buffer>> => {
   let timer: NodeJS.Timeout | undefined;
-  const silence = new Promise<never>((resolve, reject) => {
+  const idleTimeout = new Promise<never>((resolve, reject) => {
     timer = setTimeout(
-      () => reject(new EngineFailure('maybeSent', `no byte for ${silenceMs} ms`)),
-      silenceMs,
+      () => reject(new EngineFailure('maybeSent', `no byte for ${idleTimeoutMs} ms`)),
+      idleTimeoutMs,
     );
   });
   try {
-    return await Promise.race([iterator.next(), silence]);
+    return await Promise.race([iterator.next(), idleTimeout]);
   } finally {
     clearTimeout(timer);
   }
@@ -120,7 +120,7 @@
   /** Starts a stream; the events follow as the engine makes them. */
   async dispatch(
     dispatch: EngineDispatch,
-    silenceMs: number,
+    idleTimeoutMs: number,
   ): Promise<AsyncGenerator<EngineEvent>> {
     const {
       address, path, body, headers, streamId, signal,
@@ -130,23 +130,23 @@
       body,
       headers: { ...headers, 'content-type': 'application/json', 'beechlift-stream': streamId },
       signal,
-      headersTimeout: silenceMs,
+      headersTimeout: idleTimeoutMs,
       dispatcher: this.agent,
     });
-    return this.readEvents(response, 0, silenceMs);
+    return this.readEvents(response, 0, idleTimeoutMs);
   }
 
   /** Takes a stream up again from an offset, over a fresh connection. */
-  async resume(resume: EngineResume, silenceMs: number): Promise<AsyncGenerator<EngineEvent>> {
+  async resume(resume: EngineResume, idleTimeoutMs: number): Promise<AsyncGenerator<EngineEvent>> {
     const {
       address, streamId, fromOffset, signal, headers,
     } = resume;
     const fresh = this.makeFreshClient(address);
     try {
       const response = await this.send(`http://${address}/v1/streams/${encodeURIComponent(streamId)}?from=${fromOffset}`, {
-        method: 'GET', headers, signal, headersTimeout: silenceMs, dispatcher: fresh,
+        method: 'GET', headers, signal, headersTimeout: idleTimeoutMs, dispatcher: fresh,
       });
-      return this.readEvents(response, fromOffset, silenceMs);
+      return this.readEvents(response, fromOffset, idleTimeoutMs);
     } finally {
       // Closes once the stream that runs over it has ended.
       fresh.close().catch(() => undefined);
@@ -191,7 +191,7 @@
       throw toEngineFailure(error);
     }
     if (response.statusCode !== 200) {
-      throw new EngineRefusal(response.statusCode, await readBounded(response.body));
+      throw new EngineRefusal(response.statusCode, await readErrorBody(response.body));
     }
     return response;
   }
@@ -203,7 +203,7 @@
   private async* readEvents(
     response: Dispatcher.ResponseData,
     fromOffset: number,
-    silenceMs: number,
+    idleTimeoutMs: number,
   ): AsyncGenerator<EngineEvent> {
     const parse = makeChunkParser(fromOffset);
     const decoder = new TextDecoder();
@@ -211,7 +211,7 @@
     try {
       for (;;) {
         // eslint-disable-next-line no-await-in-loop -- a stream is read in order
-        const { value, done } = await readNext(iterator, silenceMs);
+        const { value, done } = await readNext(iterator, idleTimeoutMs);
         if (done) throw new EngineFailure('maybeSent', 'the stream ended before its last event');
         const chunk = parse(decoder.decode(value, { stream: true }));
         yield* chunk.events;
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -7,30 +7,30 @@
 import type { Metrics } from '../../telemetry/metrics';
 import type { HopTracer } from '../../telemetry/tracing';
 import type { Clock } from '../../utils/clock';
-import { ENGINE_SILENCE_MS } from './answerRelay';
+import { ENGINE_IDLE_TIMEOUT_MS } from './answerRelay';
 import { EngineFailure } from './engineFailure';
 import { EngineRefusal } from './engineRefusal';
 import type { EngineClient } from './engineClient';
-import { decodeKeptAnswer } from '../callers/keptAnswer';
+import { decodeStoredAnswer } from '../callers/answerBuffer';
 import {
-  buildStreamBody, judgeDispatch, replayAnswer, toBackendError,
+  buildStreamBody, handleDispatchError, replayAnswer, toBackendError,
 } from './modelSteps';
-import { refuseReleased } from './refuseReleased';
+import { releaseAndRefuse } from './releaseAndRefuse';
 import type { RequestJob } from '../callers/requestJob';
 import type { ClaimedDispatch } from './requestClaim';
 import type { RetryBudget } from './retryBudget';
-import type { SlotKeeper } from '../choosing/slotKeeper';
-import { startOver } from './startOver';
+import type { SlotClient } from '../choosing/slotClient';
+import { prepareRetry } from './prepareRetry';
 import { StreamRunner } from './streamRunner';
-import { StreamUnknown } from './streamUnknown';
+import { UnknownStreamError } from './unknownStreamError';
 
 /** Longest time from a written claim to the arrival of its dispatch at the engine. */
-const DISPATCH_FLIGHT_MS = GRANT_MS + 500;
+const MAX_DISPATCH_DELAY_MS = GRANT_MS + 500;
 const ARRIVAL_POLL_MS = 100;
 
 /** What runs model requests. */
 export interface ModelRunnerParts {
-  readonly slots: SlotKeeper;
+  readonly slots: SlotClient;
   readonly engines: EngineClient;
   readonly budget: RetryBudget;
   readonly metrics: Metrics;
@@ -40,7 +40,7 @@
   readonly isServing: () => boolean;
 }
 
-interface Granted {
+interface GrantedDispatch {
   readonly dispatch: ClaimedDispatch;
   readonly grantMs: number;
   readonly grantedAt: number;
@@ -61,9 +61,9 @@
 
   /** Runs a request; resolves when its answer is whole, throws when it gets none. */
   async run(job: RequestJob): Promise<void> {
-    const grant = await this.takeClaimAndSlot(job);
+    const grant = await this.acquireClaimAndSlot(job);
     if (grant) await this.dispatch(job, grant);
-    else await this.takeUp(job);
+    else await this.answerFromClaim(job);
   }
 
   /**
@@ -71,31 +71,31 @@
    *
    * @returns the grant, or undefined when an earlier attempt with the same key is to be taken up
    */
-  private async takeClaimAndSlot(job: RequestJob): Promise<AskReply | undefined> {
+  private async acquireClaimAndSlot(job: RequestJob): Promise<AskReply | undefined> {
     const { slots, tracer } = this.parts;
-    const { span } = tracer.startHop('claim', job.context, { keyed: job.claim.isKeyed });
-    const claimed = job.claim.take(job.waiting)
+    const { span } = tracer.startHop('claim', job.context, { keyed: job.claim.hasKey });
+    const claimed = job.claim.acquire(job.waitOperation)
       .catch((error: unknown) => {
-        job.waiting.cancel('claim failed');
+        job.waitOperation.cancel('claim failed');
         throw error;
       })
       .then(() => {
-        if (job.claim.bound) job.waiting.cancel('an earlier attempt is taken up');
+        if (job.claim.bound) job.waitOperation.cancel('an earlier attempt is taken up');
       })
       .finally(() => span.end());
-    const granted = slots.take(job.request, job.waiting, job.context);
+    const granted = slots.acquire(job.request, job.waitOperation, job.context);
     const [claim, slot] = await Promise.allSettled([claimed, granted]);
     if (claim.status === 'rejected' || job.claim.bound) {
-      if (slot.status === 'fulfilled') slots.drop(job.request);
+      if (slot.status === 'fulfilled') slots.releaseUnused(job.request);
       if (claim.status === 'rejected') throw claim.reason;
       return undefined;
     }
-    if (slot.status === 'rejected') return refuseReleased(job, slot.reason);
+    if (slot.status === 'rejected') return releaseAndRefuse(job, slot.reason);
     return slot.value;
   }
 
   private async dispatch(job: RequestJob, reply: AskReply): Promise<void> {
-    const granted: Granted = {
+    const granted: GrantedDispatch = {
       dispatch: {
         workerId: reply.workerId,
         workerAddress: reply.workerAddress,
@@ -107,14 +107,14 @@
       grantedAt: this.parts.clock.now(),
     };
     try {
-      await job.claim.markDispatched(granted.dispatch, job.waiting);
+      await job.claim.markDispatched(granted.dispatch, job.waitOperation);
     } catch (error) {
-      this.parts.slots.drop(job.request);
+      this.parts.slots.releaseUnused(job.request);
       throw error;
     }
-    if (this.isTooLate(job, granted)) {
-      this.parts.slots.drop(job.request);
-      await this.tryAgain(job, 'the grant was too old to be used');
+    if (this.isGrantUnusable(job, granted)) {
+      this.parts.slots.releaseUnused(job.request);
+      await this.retry(job, 'the grant was too old to be used');
       return;
     }
     await this.send(job, granted);
@@ -124,12 +124,12 @@
    * Guards against an entry that was paused between its claim and its dispatch: the grant, the
    * configuration lease and the caller are looked at again right before the first byte.
    */
-  private isTooLate(job: RequestJob, { grantedAt, grantMs }: Granted): boolean {
+  private isGrantUnusable(job: RequestJob, { grantedAt, grantMs }: GrantedDispatch): boolean {
     const age = this.parts.clock.now() - grantedAt;
-    return age > grantMs || !this.parts.isServing() || job.caller.isGone();
+    return age > grantMs || !this.parts.isServing() || job.caller.isDisconnected();
   }
 
-  private async send(job: RequestJob, granted: Granted): Promise<void> {
+  private async send(job: RequestJob, granted: GrantedDispatch): Promise<void> {
     const { tracer, engines } = this.parts;
     const { workerAddress, streamId, workerId } = granted.dispatch;
     const { span, below } = tracer.startHop(
@@ -145,8 +145,8 @@
         path: job.request.path,
         body: buildStreamBody(job.request),
         headers,
-        signal: job.relaying.signal,
-      }, ENGINE_SILENCE_MS).catch((error: unknown) => judgeDispatch(error, granted.dispatch));
+        signal: job.relayOperation.signal,
+      }, ENGINE_IDLE_TIMEOUT_MS).catch((error: unknown) => handleDispatchError(error, granted.dispatch));
       await this.streams.run(job, granted.dispatch, events, headers);
     } catch (error) {
       await this.handleFailure(job, granted, error);
@@ -155,20 +155,20 @@
     }
   }
 
-  private async handleFailure(job: RequestJob, granted: Granted, error: unknown): Promise<void> {
+  private async handleFailure(job: RequestJob, granted: GrantedDispatch, error: unknown): Promise<void> {
     const { slots, metrics } = this.parts;
     if (error instanceof EngineFailure && error.reach === 'notSent') {
-      slots.finish(job.request, 'unreachable');
-      await this.tryAgain(job, `backend server "${granted.dispatch.workerId}" could not be reached`);
+      slots.release(job.request, 'unreachable');
+      await this.retry(job, `backend server "${granted.dispatch.workerId}" could not be reached`);
       return;
     }
-    if (error instanceof StreamUnknown) {
+    if (error instanceof UnknownStreamError) {
       await this.handleUnknownStream(job, granted, error);
       return;
     }
-    slots.finish(job.request, job.caller.isGone() ? 'cancelled' : 'failed');
+    slots.release(job.request, job.caller.isDisconnected() ? 'cancelled' : 'failed');
     metrics.wastedPrefill.inc({ reason: 'dropped' }, job.request.promptTokens);
-    if (job.relaying.signal.aborted) await this.cancelStream(granted.dispatch);
+    if (job.relayOperation.signal.aborted) await this.cancelStream(granted.dispatch);
     throw error instanceof EngineRefusal ? toBackendError(error) : error;
   }
 
@@ -178,18 +178,18 @@
 
   private async handleUnknownStream(
     job: RequestJob,
-    granted: Granted,
-    error: StreamUnknown,
+    granted: GrantedDispatch,
+    error: UnknownStreamError,
   ): Promise<void> {
-    const proven = error.offset === 0 && await this.isProvenNotRun(granted.dispatch);
-    this.parts.slots.finish(job.request, 'failed');
-    if (proven) {
-      await this.tryAgain(job, 'the engine never saw the stream and bars it now');
+    const isProven = error.offset === 0 && await this.isProvenNotRun(granted.dispatch);
+    this.parts.slots.release(job.request, 'failed');
+    if (isProven) {
+      await this.retry(job, 'the engine never saw the stream and bars it now');
       return;
     }
     this.parts.metrics.wastedPrefill.inc({ reason: 'dropped' }, job.request.promptTokens);
     throw new BeechliftError('backendFailed', `the engine lost stream ${error.streamId} at event ${error.offset}`, {
-      run: error.offset > 0 ? 'ran' : 'unknown', steps: job.relaying.steps,
+      run: error.offset > 0 ? 'ran' : 'unknown', steps: job.relayOperation.steps,
     });
   }
 
@@ -210,21 +210,21 @@
   }
 
   /** Starts over after a dispatch that provably did no work, within the bounds of retries. */
-  private async tryAgain(job: RequestJob, reason: string): Promise<void> {
-    await startOver(this.parts, job, reason);
-    const reply = await this.parts.slots.take(job.request, job.waiting, job.context)
-      .catch((error: unknown) => refuseReleased(job, error));
+  private async retry(job: RequestJob, reason: string): Promise<void> {
+    await prepareRetry(this.parts, job, reason);
+    const reply = await this.parts.slots.acquire(job.request, job.waitOperation, job.context)
+      .catch((error: unknown) => releaseAndRefuse(job, error));
     await this.dispatch(job, reply);
   }
 
   /** Answers from what an earlier attempt with the same key did. */
-  private async takeUp(job: RequestJob): Promise<void> {
+  private async answerFromClaim(job: RequestJob): Promise<void> {
     const bound = job.claim.bound as ClaimValue;
     if (bound.state === 'finished' && bound.answerKept) {
-      await replayAnswer(job.sink, decodeKeptAnswer(bound.answer));
+      await replayAnswer(job.sink, decodeStoredAnswer(bound.answer));
       return;
     }
-    await job.claim.confirmBound(job.relaying);
+    await job.claim.confirmBound(job.relayOperation);
     if (!bound.canResume) {
       throw new BeechliftError(bound.state === 'finished' ? 'answerGone' : 'outcomeUnknown', 'the same key was dispatched before, and its answer cannot be taken up again', { retryAfterMs: 1_000 });
     }
@@ -239,36 +239,36 @@
   private async resumeBound(
     job: RequestJob,
     bound: ClaimValue,
-    arrivesBy = this.parts.clock.now() + DISPATCH_FLIGHT_MS,
+    arrivalDeadline = this.parts.clock.now() + MAX_DISPATCH_DELAY_MS,
   ): Promise<void> {
     const headers = this.parts.tracer.formatHeaders(job.context);
     try {
       await this.streams.run(job, bound, undefined, headers);
     } catch (error) {
-      if (!(error instanceof StreamUnknown)) throw error;
+      if (!(error instanceof UnknownStreamError)) throw error;
       const mayArrive = error.offset === 0 && bound.state === 'dispatched'
-        && this.parts.clock.now() < arrivesBy && !job.caller.isGone();
+        && this.parts.clock.now() < arrivalDeadline && !job.caller.isDisconnected();
       if (!mayArrive) {
-        await this.settleLostStream(job, bound, error);
+        await this.handleLostStream(job, bound, error);
         return;
       }
       await pause(ARRIVAL_POLL_MS);
-      await this.resumeBound(job, bound, arrivesBy);
+      await this.resumeBound(job, bound, arrivalDeadline);
     }
   }
 
-  private async settleLostStream(
+  private async handleLostStream(
     job: RequestJob,
     bound: ClaimValue,
-    error: StreamUnknown,
+    error: UnknownStreamError,
   ): Promise<void> {
     if (bound.state === 'finished') {
       throw new BeechliftError('answerGone', 'the request ran, and neither the engine nor the claim keeps its answer');
     }
-    const proven = error.offset === 0 && await this.isProvenNotRun(bound);
-    if (!proven) {
-      throw new BeechliftError('outcomeUnknown', 'the engine does not know the stream and cannot prove that it never ran', { steps: job.relaying.steps });
+    const isProven = error.offset === 0 && await this.isProvenNotRun(bound);
+    if (!isProven) {
+      throw new BeechliftError('outcomeUnknown', 'the engine does not know the stream and cannot prove that it never ran', { steps: job.relayOperation.steps });
     }
-    await this.tryAgain(job, 'the earlier attempt never reached its engine');
+    await this.retry(job, 'the earlier attempt never reached its engine');
   }
 }
--- a/src/entry/sending/modelSteps.ts
+++ b/src/entry/sending/modelSteps.ts
@@ -13,7 +13,7 @@
  * @example
  * const events = await engines.dispatch(…).catch((error) => judgeDispatch(error, dispatch));
  */
-export const judgeDispatch = (error: unknown, { canResume }: ClaimedDispatch): undefined => {
+export const handleDispatchError = (error: unknown, { canResume }: ClaimedDispatch): undefined => {
   const mayRun = error instanceof EngineFailure && error.reach === 'maybeSent';
   if (mayRun && canResume) return undefined;
   throw error;
@@ -26,14 +26,14 @@
 
 const MAX_SHOWN_BODY = 500;
 
-const BARRED_STATUS = 409;
+const BLOCKED_STREAM_STATUS = 409;
 
 /**
  * What a caller is told when an engine answers with an error status. A stream that is barred there
  * was taken over by a resend of the same key.
  */
 export const toBackendError = ({ status, body }: EngineRefusal): BeechliftError => (
-  status === BARRED_STATUS
+  status === BLOCKED_STREAM_STATUS
     ? makeSupersededError()
     : new BeechliftError('backendFailed', `the engine answered with status ${status}: ${body.slice(0, MAX_SHOWN_BODY)}`, { run: 'unknown' })
 );
--- a/src/entry/sending/startOver.ts
+++ b/src/entry/sending/prepareRetry.ts
@@ -6,7 +6,7 @@
 const MAX_ATTEMPTS = 3;
 
 /** What decides whether a request may start over. */
-export interface StartOverParts {
+export interface PrepareRetryParts {
   readonly budget: RetryBudget;
   readonly metrics: Metrics;
   readonly isServing: () => boolean;
@@ -19,23 +19,23 @@
  * @example
  * await startOver(parts, job, 'backend server "g1" could not be reached');
  */
-export const startOver = async (
-  { budget, metrics, isServing }: StartOverParts,
+export const prepareRetry = async (
+  { budget, metrics, isServing }: PrepareRetryParts,
   job: RequestJob,
   reason: string,
 ): Promise<void> => {
-  job.waiting = job.makeWaiting();
-  job.waiting.note(reason);
-  job.attempts += 1;
+  job.waitOperation = job.makeWaitOperation();
+  job.waitOperation.note(reason);
+  job.unexecutedDispatches += 1;
   const releaseFailure = await job.claim.release();
   if (releaseFailure) throw releaseFailure;
-  const allowed = job.attempts < MAX_ATTEMPTS && !job.caller.isGone()
-    && isServing() && job.waiting.remainingMs > 0 && budget.take();
+  const allowed = job.unexecutedDispatches < MAX_ATTEMPTS && !job.caller.isDisconnected()
+    && isServing() && job.waitOperation.remainingMs > 0 && budget.tryConsume();
   if (!allowed) {
     throw new BeechliftError('noBackend', reason, {
-      run: 'notRun', retryAfterMs: 1_000, steps: job.waiting.steps,
+      run: 'notRun', retryAfterMs: 1_000, steps: job.waitOperation.steps,
     });
   }
   metrics.retries.inc();
-  await job.claim.takeAnew(job.waiting);
+  await job.claim.reacquire(job.waitOperation);
 };
--- a/src/entry/sending/requestClaim.ts
+++ b/src/entry/sending/requestClaim.ts
@@ -4,8 +4,8 @@
 import { BeechliftError, toBeechliftError } from '../../errors/beechliftError';
 import { Operation } from '../../utils/operation';
 import type { CallerRequest } from '../callers/callerRequest';
-import type { ClaimClient, ClaimTicket } from './claimClient';
-import { isFree } from './claimClient';
+import type { ClaimClient, PreparedClaim } from './claimClient';
+import { canDispatch } from './claimClient';
 import { makeSupersededError } from './supersededError';
 
 const RELEASE_TIMEOUT_MS = 1_500;
@@ -21,10 +21,10 @@
 }
 
 /** An answer that is whole. */
-export interface FinishedAnswer {
+export interface CompletedAnswer {
   readonly answer: {
     /** Whether the answer is within the bound of what is kept. */
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
     readonly encode: () => Buffer;
   };
   readonly status: number;
@@ -40,27 +40,27 @@
  * await claim.markDispatched(dispatch, operation);
  */
 export class RequestClaim {
-  private ticket: ClaimTicket | undefined;
+  private preparedClaim: PreparedClaim | undefined;
 
-  private last: ClaimValue | undefined;
+  private lastValue: ClaimValue | undefined;
 
   constructor(private readonly request: CallerRequest, private readonly claims: ClaimClient) {}
 
   /** Whether there is a claim to keep. */
-  get isKeyed(): boolean {
+  get hasKey(): boolean {
     return this.request.idempotencyKey !== '';
   }
 
   /** What an earlier attempt agreed on and this one is bound to. */
   get bound(): ClaimValue | undefined {
-    return this.ticket && !isFree(this.ticket) ? this.ticket.bound : undefined;
+    return this.preparedClaim && !canDispatch(this.preparedClaim) ? this.preparedClaim.bound : undefined;
   }
 
   /** Takes the claim; refuses a key that stands for another body. */
-  async take(operation: Operation): Promise<void> {
-    if (!this.isKeyed) return;
+  async acquire(operation: Operation): Promise<void> {
+    if (!this.hasKey) return;
     const { account, idempotencyKey, bodyHash } = this.request;
-    this.ticket = await this.claims.prepare(`${account}\n${idempotencyKey}`, operation);
+    this.preparedClaim = await this.claims.prepare(`${account}\n${idempotencyKey}`, operation);
     const { bound } = this;
     if (bound && bound.bodyHash !== bodyHash) {
       throw new BeechliftError('keyReused', 'this Idempotency-Key was used with another body');
@@ -74,19 +74,19 @@
 
   /** Confirms what is bound, so that it holds at a majority before it is acted on. */
   async confirmBound(operation: Operation): Promise<void> {
-    if (!this.ticket?.bound) return;
-    this.last = this.ticket.bound;
-    await this.claims.accept(this.ticket, this.ticket.bound, operation);
+    if (!this.preparedClaim?.bound) return;
+    this.lastValue = this.preparedClaim.bound;
+    await this.claims.accept(this.preparedClaim, this.preparedClaim.bound, operation);
   }
 
   /** Writes that the answer is whole, with the answer when it is within its bound. */
-  async finish({ answer, status, contentType }: FinishedAnswer): Promise<void> {
+  async finish({ answer, status, contentType }: CompletedAnswer): Promise<void> {
     const fields: Partial<ClaimValue> = {
-      ...this.last,
+      ...this.lastValue,
       status,
       contentType,
-      answerKept: answer.isWhole,
-      answer: answer.isWhole ? answer.encode() : Buffer.alloc(0),
+      answerKept: answer.isComplete,
+      answer: answer.isComplete ? answer.encode() : Buffer.alloc(0),
     };
     await this.write('finished', new Operation({ timeoutMs: FINISH_TIMEOUT_MS }), fields);
   }
@@ -97,7 +97,7 @@
    * @returns why no majority agreed; such an error says that nobody knows whether it ran
    */
   async release(): Promise<BeechliftError | undefined> {
-    if (!this.ticket) return undefined;
+    if (!this.preparedClaim) return undefined;
     try {
       await this.write('released', new Operation({ timeoutMs: RELEASE_TIMEOUT_MS }));
       return undefined;
@@ -114,8 +114,8 @@
    * Guards against two runs: a ballot stands for one dispatch. A holder that has heard of the first
    * but not of the second would tell the next entry of the first, with the same ballot.
    */
-  async takeAnew(operation: Operation): Promise<void> {
-    await this.take(operation);
+  async reacquire(operation: Operation): Promise<void> {
+    await this.acquire(operation);
     if (this.bound) throw makeSupersededError();
   }
 
@@ -124,11 +124,11 @@
     operation: Operation,
     fields: Partial<ClaimValue> = {},
   ): Promise<void> {
-    if (!this.ticket) return;
+    if (!this.preparedClaim) return;
     const value = ClaimValueCodec.fromPartial({
       ...fields, state, bodyHash: this.request.bodyHash, target: this.request.target,
     });
-    this.last = value;
-    await this.claims.accept(this.ticket, value, operation);
+    this.lastValue = value;
+    await this.claims.accept(this.preparedClaim, value, operation);
   }
 }
--- a/src/entry/sending/retryBudget.ts
+++ b/src/entry/sending/retryBudget.ts
@@ -1,4 +1,4 @@
-const GAIN_PER_REQUEST = 0.1;
+const TOKENS_PER_REQUEST = 0.1;
 const MAX_TOKENS = 50;
 
 /**
@@ -12,12 +12,12 @@
   private tokens = MAX_TOKENS;
 
   /** Gains a part of a retry. */
-  noteRequest(): void {
-    this.tokens = Math.min(MAX_TOKENS, this.tokens + GAIN_PER_REQUEST);
+  countRequest(): void {
+    this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_REQUEST);
   }
 
   /** Takes one retry, when there is one left. */
-  take(): boolean {
+  tryConsume(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
--- a/src/entry/sending/serviceClient.ts
+++ b/src/entry/sending/serviceClient.ts
@@ -22,17 +22,17 @@
 }
 
 const CONNECT_TIMEOUT_MS = 1_000;
-const HOP_HEADERS: readonly string[] = [
+const NOT_FORWARDED_HEADERS: readonly string[] = [
   'connection', 'keep-alive', 'transfer-encoding', 'te', 'trailer', 'upgrade', 'content-length', 'host',
   'proxy-authorization', 'authorization', 'expect',
 ];
 
 /** Headers that concern one connection only, and the caller's API key, are not passed on. */
-export const pickPassedHeaders = (
+export const pickForwardedHeaders = (
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> => Object.fromEntries(
   Object.entries(headers)
-    .filter(([name, value]) => value !== undefined && !HOP_HEADERS.includes(name.toLowerCase()))
+    .filter(([name, value]) => value !== undefined && !NOT_FORWARDED_HEADERS.includes(name.toLowerCase()))
     .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value ?? '']),
 );
 
@@ -79,7 +79,7 @@
       dispatcher: client,
     });
     const body = await readBody(response.body, call.maxBytes);
-    return { status: response.statusCode, headers: pickPassedHeaders(response.headers), body };
+    return { status: response.statusCode, headers: pickForwardedHeaders(response.headers), body };
   } catch (error) {
     throw error instanceof BeechliftError ? error : toEngineFailure(error);
   } finally {
--- a/src/entry/sending/serviceRunner.ts
+++ b/src/entry/sending/serviceRunner.ts
@@ -6,13 +6,13 @@
 import type { HopTracer } from '../../telemetry/tracing';
 import type { Clock } from '../../utils/clock';
 import { EngineFailure } from './engineFailure';
-import { refuseReleased } from './refuseReleased';
+import { releaseAndRefuse } from './releaseAndRefuse';
 import type { RequestJob } from '../callers/requestJob';
 import { callService } from './serviceClient';
 import type { ServiceAnswer } from './serviceClient';
 import type { RetryBudget } from './retryBudget';
-import type { SlotKeeper } from '../choosing/slotKeeper';
-import { startOver } from './startOver';
+import type { SlotClient } from '../choosing/slotClient';
+import { prepareRetry } from './prepareRetry';
 
 /** What is sent to the service. */
 export interface ServiceDispatch {
@@ -23,7 +23,7 @@
 
 /** What runs service calls. */
 export interface ServiceRunnerParts {
-  readonly slots: SlotKeeper;
+  readonly slots: SlotClient;
   readonly tracer: HopTracer;
   readonly clock: Clock;
   readonly budget: RetryBudget;
@@ -46,23 +46,23 @@
 
   /** Runs a call and returns the whole answer. */
   async run(job: RequestJob, dispatch: ServiceDispatch): Promise<ServiceAnswer> {
-    await job.claim.take(job.waiting);
+    await job.claim.acquire(job.waitOperation);
     const { bound } = job.claim;
-    if (bound) return this.answerBound(bound);
-    return this.takeSlotAndSend(job, dispatch);
+    if (bound) return this.answerFromClaim(bound);
+    return this.acquireSlotAndSend(job, dispatch);
   }
 
-  private async takeSlotAndSend(
+  private async acquireSlotAndSend(
     job: RequestJob,
     dispatch: ServiceDispatch,
   ): Promise<ServiceAnswer> {
-    const grant = await this.parts.slots.take(job.request, job.waiting, job.context)
-      .catch((error: unknown) => refuseReleased(job, error));
+    const grant = await this.parts.slots.acquire(job.request, job.waitOperation, job.context)
+      .catch((error: unknown) => releaseAndRefuse(job, error));
     await this.claimDispatch(job, grant);
     return this.send(job, grant, dispatch);
   }
 
-  private answerBound(bound: ClaimValue): ServiceAnswer {
+  private answerFromClaim(bound: ClaimValue): ServiceAnswer {
     if (bound.state === 'finished' && bound.answerKept) {
       return {
         status: bound.status,
@@ -85,15 +85,15 @@
         workerIncarnation: grant.workerIncarnation,
         streamId: randomUUID(),
         canResume: false,
-      }, job.waiting);
+      }, job.waitOperation);
     } catch (error) {
-      this.parts.slots.drop(job.request);
+      this.parts.slots.releaseUnused(job.request);
       throw error;
     }
     const age = this.parts.clock.now() - grantedAt;
-    if (age <= grant.grantMs && this.parts.isServing() && !job.caller.isGone()) return;
-    this.parts.slots.drop(job.request);
-    await refuseReleased(job, new BeechliftError('noSlotInTime', 'the grant was too old to be used', { retryAfterMs: 500 }));
+    if (age <= grant.grantMs && this.parts.isServing() && !job.caller.isDisconnected()) return;
+    this.parts.slots.releaseUnused(job.request);
+    await releaseAndRefuse(job, new BeechliftError('noSlotInTime', 'the grant was too old to be used', { retryAfterMs: 500 }));
   }
 
   private async send(
@@ -114,8 +114,8 @@
         maxBytes: this.parts.readManifest().limits.bodyBytes,
       });
       const totalMs = clock.now() - sentAt;
-      slots.finish(job.request, 'complete', { firstTokenMs: totalMs, totalMs, outputTokens: 1 });
-      await this.keep(job, answer);
+      slots.release(job.request, 'complete', { firstTokenMs: totalMs, totalMs, outputTokens: 1 });
+      await this.storeAnswer(job, answer);
       return answer;
     } catch (error) {
       return await this.handleFailure(job, grant, dispatch, error);
@@ -125,10 +125,10 @@
   }
 
   /** Keeps the answer before it is given, so that a resend after a crash of this entry finds it. */
-  private async keep(job: RequestJob, answer: ServiceAnswer): Promise<void> {
+  private async storeAnswer(job: RequestJob, answer: ServiceAnswer): Promise<void> {
     const { answerBytes } = this.parts.readManifest().limits;
     await job.claim.finish({
-      answer: { isWhole: answer.body.length <= answerBytes, encode: () => answer.body },
+      answer: { isComplete: answer.body.length <= answerBytes, encode: () => answer.body },
       status: answer.status,
       contentType: answer.headers[TYPE_HEADER] ?? '',
     }).catch(() => undefined);
@@ -141,10 +141,10 @@
     error: unknown,
   ): Promise<ServiceAnswer> {
     const notSent = error instanceof EngineFailure && error.reach === 'notSent';
-    this.parts.slots.finish(job.request, notSent ? 'unreachable' : 'failed');
+    this.parts.slots.release(job.request, notSent ? 'unreachable' : 'failed');
     if (notSent) {
-      await startOver(this.parts, job, `backend server "${grant.workerId}" could not be reached`);
-      return this.takeSlotAndSend(job, dispatch);
+      await prepareRetry(this.parts, job, `backend server "${grant.workerId}" could not be reached`);
+      return this.acquireSlotAndSend(job, dispatch);
     }
     if (error instanceof BeechliftError) throw error;
     throw new BeechliftError('outcomeUnknown', `the call was sent and no whole answer came: ${(error as Error).message}`);
--- a/src/entry/sending/streamRunner.ts
+++ b/src/entry/sending/streamRunner.ts
@@ -4,23 +4,23 @@
 import { AnswerRelay } from './answerRelay';
 import { hasToken } from '../callers/answerSink';
 import type { EngineClient, EngineEvent } from './engineClient';
-import { KeptAnswer } from '../callers/keptAnswer';
+import { AnswerBuffer } from '../callers/answerBuffer';
 import type { ClaimedDispatch } from './requestClaim';
 import type { RequestJob } from '../callers/requestJob';
-import type { SlotKeeper, SlotTimes } from '../choosing/slotKeeper';
+import type { SlotClient, SlotTimes } from '../choosing/slotClient';
 
 const ANSWER_TYPE = 'application/json';
 
 /** What runs the stream of a dispatched request. */
 export interface StreamRunnerParts {
-  readonly slots: SlotKeeper;
+  readonly slots: SlotClient;
   readonly engines: EngineClient;
   readonly metrics: Metrics;
   readonly clock: Clock;
   readonly readManifest: () => Manifest;
 }
 
-type RelayResult = SlotTimes & { readonly kept: KeptAnswer };
+type RelayResult = SlotTimes & { readonly answer: AnswerBuffer };
 
 /**
  * Brings the stream of a dispatched request to its caller, and notes how long it took.
@@ -42,11 +42,11 @@
     metrics.openStreams.inc();
     try {
       const result = await this.relayEvents(job, dispatch, events, headers);
-      slots.finish(job.request, 'complete', result);
+      slots.release(job.request, 'complete', result);
       this.countGoodput(job, result);
       await job.sink.end();
       await job.claim.finish({
-        answer: result.kept, status: 200, contentType: ANSWER_TYPE,
+        answer: result.answer, status: 200, contentType: ANSWER_TYPE,
       }).catch(() => undefined);
     } finally {
       metrics.openStreams.dec();
@@ -60,8 +60,8 @@
     headers: Readonly<Record<string, string>>,
   ): Promise<RelayResult> {
     const { clock, engines, metrics } = this.parts;
-    const kept = new KeptAnswer(
-      job.claim.isKeyed ? this.parts.readManifest().limits.answerBytes : 0,
+    const answer = new AnswerBuffer(
+      job.claim.hasKey ? this.parts.readManifest().limits.answerBytes : 0,
     );
     const sentAt = clock.now();
     const times = { firstTokenMs: 0, outputTokens: 0 };
@@ -70,21 +70,21 @@
       streamId: dispatch.streamId,
       canResume: dispatch.canResume,
       headers,
-    }, job.relaying);
+    }, job.relayOperation);
     await relay.run(events, async ({ data }) => {
       if (hasToken(data)) {
         times.outputTokens += 1;
-        if (times.outputTokens === 1) times.firstTokenMs = this.noteFirstToken(job, sentAt);
+        if (times.outputTokens === 1) times.firstTokenMs = this.recordFirstToken(job, sentAt);
       }
-      kept.add(data);
-      if (!job.caller.isGone()) await job.sink.deliver(data);
+      answer.add(data);
+      if (!job.caller.isDisconnected()) await job.sink.deliver(data);
     }).finally(() => metrics.resumes.inc(relay.resumes));
-    return { ...times, kept, totalMs: clock.now() - sentAt };
+    return { ...times, answer: answer, totalMs: clock.now() - sentAt };
   }
 
-  private noteFirstToken(job: RequestJob, sentAt: number): number {
+  private recordFirstToken(job: RequestJob, sentAt: number): number {
     const now = this.parts.clock.now();
-    this.parts.slots.start(job.request);
+    this.parts.slots.reportFirstToken(job.request);
     this.parts.metrics.firstToken.observe(
       { tier: job.request.tier },
       (now - job.startedAt) / 1_000,
@@ -97,6 +97,6 @@
     const elapsed = this.parts.clock.now() - job.startedAt;
     const toFirst = elapsed - totalMs + firstTokenMs;
     const inTime = tier !== undefined && elapsed <= tier.totalMs && toFirst <= tier.firstTokenMs;
-    if (inTime && !job.caller.isGone()) this.parts.metrics.goodput.inc({ tier: job.request.tier });
+    if (inTime && !job.caller.isDisconnected()) this.parts.metrics.goodput.inc({ tier: job.request.tier });
   }
 }
--- a/src/entry/sending/streamUnknown.ts
+++ b/src/entry/sending/unknownStreamError.ts
@@ -1,5 +1,5 @@
 /** The engine does not know a stream that is to be resumed. */
-export class StreamUnknown extends Error {
+export class UnknownStreamError extends Error {
   constructor(readonly streamId: string, readonly offset: number, readonly status: number) {
     super(`the engine answered ${status} for stream ${streamId}`);
     this.name = 'StreamUnknown';
--- a/src/http/callerServer.ts
+++ b/src/http/callerServer.ts
@@ -33,7 +33,7 @@
     path: request.url.startsWith(prefix) ? request.url.slice(prefix.length) || '/' : request.url,
     headers: request.headers,
     body: readBody(request),
-    isGone: () => reply.raw.destroyed,
+    isDisconnected: () => reply.raw.destroyed,
   });
   reply.code(answer.status).headers({ ...answer.headers }).send(answer.body);
 };
--- a/src/http/httpSink.ts
+++ b/src/http/httpSink.ts
@@ -2,7 +2,7 @@
 import type { FastifyReply } from 'fastify';
 import { foldEvents } from '../entry/callers/answerSink';
 import type { AnswerSink } from '../entry/callers/answerSink';
-import type { CallerLink } from '../entry/callers/requestJob';
+import type { CallerConnection } from '../entry/callers/requestJob';
 import type { BeechliftError } from '../errors/beechliftError';
 import { sendError } from './httpServer';
 
@@ -23,7 +23,7 @@
  */
 export class HttpSink implements AnswerSink {
   /** The caller's end, as the runners see it. */
-  readonly link: CallerLink;
+  readonly link: CallerConnection;
 
   private readonly events: string[] = [];
 
@@ -48,8 +48,8 @@
       listeners.forEach((listener) => listener());
     });
     this.link = {
-      isGone: () => this.gone,
-      onGone: (listener) => {
+      isDisconnected: () => this.gone,
+      onDisconnect: (listener) => {
         listeners.push(listener);
       },
     };
--- a/tests/core/claims-model.spec.ts
+++ b/tests/core/claims-model.spec.ts
@@ -3,7 +3,7 @@
 import { ClaimHolder } from '../../src/control/claimHolder';
 import { ClaimStore } from '../../src/disk/claimStore';
 import type { CallerRequest } from '../../src/entry/callers/callerRequest';
-import { ClaimClient, isFree } from '../../src/entry/sending/claimClient';
+import { ClaimClient, canDispatch } from '../../src/entry/sending/claimClient';
 import { RequestClaim } from '../../src/entry/sending/requestClaim';
 import { ClaimValue } from '../../src/protocol/generated/beechlift';
 import type {
@@ -73,7 +73,7 @@
   const operation = new Operation({ timeoutMs: 5_000 });
   try {
     const ticket = await client.prepare('kiosks\nroom-17', operation);
-    if (!isFree(ticket)) return false;
+    if (!canDispatch(ticket)) return false;
     await client.accept(
       ticket,
       ClaimValue.fromPartial({ state: 'dispatched', streamId }),
@@ -106,11 +106,11 @@
     if (left === 0) return true;
     const failure = await claim.release();
     if (failure) throw failure;
-    await claim.takeAnew(operation);
+    await claim.reacquire(operation);
     return tryNext(left - 1);
   };
   try {
-    await claim.take(operation);
+    await claim.acquire(operation);
     return claim.bound === undefined && await tryNext(given);
   } catch {
     return false;
--- a/tests/entry/leaving-announcements.spec.ts
+++ b/tests/entry/leaving-announcements.spec.ts
@@ -1,7 +1,7 @@
 import {
   beforeEach, describe, expect, it,
 } from 'vitest';
-import { AnnouncementMemo } from '../../src/entry/choosing/announcementMemo';
+import { AnnouncementCache } from '../../src/entry/choosing/announcementCache';
 import type { OrderSender } from '../../src/entry/choosing/orderSender';
 import { Scheduler } from '../../src/entry/choosing/scheduler';
 import { Configuration } from '../../src/entry/inForce/configuration';
@@ -33,15 +33,15 @@
 
 describe('entries that hear of a backend server that leaves', () => {
   let entries: Map<string, FakeEntry>;
-  let cutOff: Set<string>;
+  let unreachableEntries: Set<string>;
   let asked: number;
   /** The view that control answers with; of number 0 it changes nothing. */
-  let newest: { viewNumber: number; members: readonly string[] };
+  let controlView: { viewNumber: number; members: readonly string[] };
 
   const makeLink = (id: string) => ({
     call: (pick: unknown, request: Announcement): Promise<object> => {
-      if (cutOff.has(id) || !('state' in request)) return Promise.reject(new Error('cut off'));
-      return Promise.resolve(entries.get(id)?.scheduler.announceHere(request)).then(() => ({}));
+      if (unreachableEntries.has(id) || !('state' in request)) return Promise.reject(new Error('cut off'));
+      return Promise.resolve(entries.get(id)?.scheduler.handleForwardedAnnouncement(request)).then(() => ({}));
     },
   });
 
@@ -66,7 +66,7 @@
       clock,
       listRunning: () => [],
       orders: {} as OrderSender,
-      refreshView: async () => setView(id, newest.viewNumber, newest.members),
+      refreshView: async () => setView(id, controlView.viewNumber, controlView.members),
     });
     entries.set(id, { scheduler, configuration });
   };
@@ -80,12 +80,12 @@
   });
 
   /** The backend servers that an owner would send new requests to. */
-  const listTaken = async (owner: string): Promise<string[]> => {
+  const listGrantedWorkers = async (owner: string): Promise<string[]> => {
     const replies: AskReply[] = [];
     Array.from({ length: 12 }, () => {
       asked += 1;
       return asked;
-    }).forEach((askNumber) => entries.get(owner)?.scheduler.askHere(
+    }).forEach((askNumber) => entries.get(owner)?.scheduler.handleAsk(
       AskRequest.fromPartial({
         requestId: `r${askNumber}`, askNumber, pool: POOL, tier: 'door', account: 'kiosks', target: 'guide', entryId: owner, promptTokens: 10, maxTokens: 5, deadlineMs: 5_000,
       }),
@@ -106,9 +106,9 @@
 
   beforeEach(() => {
     entries = new Map();
-    cutOff = new Set();
+    unreachableEntries = new Set();
     asked = 0;
-    newest = { viewNumber: 0, members: [] };
+    controlView = { viewNumber: 0, members: [] };
     ['e1', 'e2', 'e3'].forEach(addEntry);
   });
 
@@ -123,14 +123,14 @@
     await announce(joining, 'g1', 'ready');
     await announce(owner, 'g1', 'leaving');
     await announce(other, 'g2', 'ready');
-    cutOff.add(owner).add(other);
+    unreachableEntries.add(owner).add(other);
     setView(joining, 2, [owner, other, joining]);
-    expect(await listTaken(joining)).toEqual([]);
-    cutOff.clear();
+    expect(await listGrantedWorkers(joining)).toEqual([]);
+    unreachableEntries.clear();
     setView(owner, 2, [owner, other, joining]);
     setView(other, 2, [owner, other, joining]);
     await settle();
-    expect(await listTaken(joining)).toEqual(['g2']);
+    expect(await listGrantedWorkers(joining)).toEqual(['g2']);
   });
 
   /*
@@ -143,9 +143,9 @@
     await announce(next, 'g1', 'ready');
     await announce(next, 'g2', 'ready');
     await announce(other, 'g1', 'leaving');
-    cutOff.add(owner).add(other);
+    unreachableEntries.add(owner).add(other);
     setView(next, 2, [other, next]);
-    expect(await listTaken(next)).toEqual(['g2']);
+    expect(await listGrantedWorkers(next)).toEqual(['g2']);
   });
 
   /*
@@ -159,7 +159,7 @@
     await announce(joining, 'g1', 'ready');
     await announce(joining, 'g2', 'ready');
     await announce(other, 'g1', 'leaving');
-    expect(await listTaken(joining)).toEqual(['g2']);
+    expect(await listGrantedWorkers(joining)).toEqual(['g2']);
   });
 
   /*
@@ -170,12 +170,12 @@
   it('should tell an entry that joined since the last heartbeat', async () => {
     const [owner, other, joining] = findOwners();
     [owner, other].forEach((id) => setView(id, 1, [owner, other]));
-    newest = { viewNumber: 2, members: [owner, other, joining] };
-    setView(joining, newest.viewNumber, newest.members);
+    controlView = { viewNumber: 2, members: [owner, other, joining] };
+    setView(joining, controlView.viewNumber, controlView.members);
     await announce(joining, 'g1', 'ready');
     await announce(joining, 'g2', 'ready');
     await announce(other, 'g1', 'leaving');
-    expect(await listTaken(joining)).toEqual(['g2']);
+    expect(await listGrantedWorkers(joining)).toEqual(['g2']);
   });
 
   /*
@@ -188,20 +188,20 @@
     await announce(other, 'g1', 'leaving');
     await announce(next, 'g1', 'ready');
     await announce(next, 'g2', 'ready');
-    cutOff.add(owner).add(other);
+    unreachableEntries.add(owner).add(other);
     setView(next, 2, [other, next]);
-    expect(await listTaken(next)).toEqual(['g2']);
+    expect(await listGrantedWorkers(next)).toEqual(['g2']);
   });
 });
 
 describe('what an entry keeps of announcements', () => {
   // A server says that it leaves, is ready after all, and leaves again: all must hear it again.
   it('should take it for news when a server leaves once more', () => {
-    const memo = new AnnouncementMemo();
-    expect(memo.keep(makeAnnouncement('g1', 'leaving'), 0)).toBe(true);
-    expect(memo.keep(makeAnnouncement('g1', 'leaving'), 1_000)).toBe(false);
-    expect(memo.keep(makeAnnouncement('g1', 'ready'), 20_000)).toBe(false);
-    expect(memo.list(20_000).map(({ state }) => state)).toEqual(['ready']);
-    expect(memo.keep(makeAnnouncement('g1', 'leaving'), 30_000)).toBe(true);
+    const cache = new AnnouncementCache();
+    expect(cache.store(makeAnnouncement('g1', 'leaving'), 0)).toBe(true);
+    expect(cache.store(makeAnnouncement('g1', 'leaving'), 1_000)).toBe(false);
+    expect(cache.store(makeAnnouncement('g1', 'ready'), 20_000)).toBe(false);
+    expect(cache.list(20_000).map(({ state }) => state)).toEqual(['ready']);
+    expect(cache.store(makeAnnouncement('g1', 'leaving'), 30_000)).toBe(true);
   });
 });
--- a/tests/entry/slot-keeper.spec.ts
+++ b/tests/entry/slot-client.spec.ts
@@ -4,7 +4,7 @@
 import type { CallerRequest } from '../../src/entry/callers/callerRequest';
 import { PoolOwner } from '../../src/entry/choosing/poolOwner';
 import type { Scheduler } from '../../src/entry/choosing/scheduler';
-import { SlotKeeper } from '../../src/entry/choosing/slotKeeper';
+import { SlotClient } from '../../src/entry/choosing/slotClient';
 import { BeechliftError } from '../../src/errors/beechliftError';
 import { AskRequest, ReportRequest } from '../../src/protocol/generated/beechlift';
 import { HopTracer } from '../../src/telemetry/tracing';
@@ -22,7 +22,7 @@
 };
 
 /** Brings questions and reports to an owner; each reply is lost, as its call is cancelled first. */
-const makeCrossing = (owner: PoolOwner): Scheduler => {
+const makeCancellingScheduler = (owner: PoolOwner): Scheduler => {
   const askNumber = 1;
   return {
     ask: async (question: object, operation: Operation) => {
@@ -38,9 +38,9 @@
   // Guards slots against a grant that crosses the cancellation of its question, and is never used.
   it('should be free again where its grant crosses the end of the question', async () => {
     const owner = makeOwner();
-    const slots = new SlotKeeper('e1', 'a', makeCrossing(owner), new ActiveTable(), new HopTracer('entry/e1', ''), () => 1);
+    const slots = new SlotClient('e1', 'a', makeCancellingScheduler(owner), new ActiveTable(), new HopTracer('entry/e1', ''), () => 1);
     const operation = new Operation({ timeoutMs: 5_000 });
-    await expect(slots.take(REQUEST, operation, ROOT_CONTEXT)).rejects.toThrow('gone');
+    await expect(slots.acquire(REQUEST, operation, ROOT_CONTEXT)).rejects.toThrow('gone');
     expect([owner.tables.running.size, owner.tables.waiting.size]).toEqual([0, 0]);
   });
 });
--- a/tests/site/connection-failures.spec.ts
+++ b/tests/site/connection-failures.spec.ts
@@ -106,8 +106,8 @@
     const [control] = site.controls as [SiteProcess];
     proxy = new SilentProxy(control.address);
     await proxy.start();
-    const behind = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
-    await waitUntil('it serves', async () => (await site.readStatus(behind)).isServing);
+    const proxiedEntry = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
+    await waitUntil('it serves', async () => (await site.readStatus(proxiedEntry)).isServing);
     proxy.silence();
     await site.submit(makeManifest(2));
     await site.waitForVersion(2);
@@ -122,8 +122,8 @@
     const [control] = site.controls as [SiteProcess];
     proxy = new SilentProxy(control.address);
     await proxy.start();
-    const cutOff = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
-    await waitUntil('it serves', async () => (await site.readStatus(cutOff)).isServing);
+    const isolatedEntry = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
+    await waitUntil('it serves', async () => (await site.readStatus(isolatedEntry)).isServing);
     proxy.setCut(true);
     await site.submit(makeManifest(2));
     await site.waitForVersion(2);
@@ -131,6 +131,6 @@
       const { members } = await site.readControl();
       return members.every(({ member, silentMs }) => member?.id !== 'e9' || silentMs > 4_000);
     });
-    expect((await site.readStatus(cutOff)).isServing).toBe(true);
+    expect((await site.readStatus(isolatedEntry)).isServing).toBe(true);
   });
 });
--- a/tests/site/control-failures.spec.ts
+++ b/tests/site/control-failures.spec.ts
@@ -102,9 +102,9 @@
       const { members } = await site.readControl();
       return members.every(({ member, silentMs }) => member?.id !== entry.id || silentMs > 4_000);
     });
-    const woken = site.ask(entry, 'short');
+    const answerAfterPause = site.ask(entry, 'short');
     site.freeze(entry, false);
-    expect((await woken).status).not.toBe(200);
+    expect((await answerAfterPause).status).not.toBe(200);
     expect(engine.dispatched).toHaveLength(0);
     await site.waitForVersion(2);
   });
--- a/tests/site/orders.spec.ts
+++ b/tests/site/orders.spec.ts
@@ -40,16 +40,16 @@
     const engines = await addEngines({});
     await site.submit(makeVersion(2));
     let isRolling = true;
-    const askOn = async (
+    const askUntilRolledOut = async (
       entry: SiteProcess,
       prompt: string,
       before: string[],
     ): Promise<string[]> => {
       const { text } = await site.ask(entry, prompt, { tokens: 60, tier: 'history' });
-      return isRolling ? askOn(entry, prompt, [...before, text]) : [...before, text];
+      return isRolling ? askUntilRolledOut(entry, prompt, [...before, text]) : [...before, text];
     };
     const asked = Array.from({ length: 6 }, (unused, position) => (
-      askOn(site.entries[position % 3] as SiteProcess, `p${position}`, [])));
+      askUntilRolledOut(site.entries[position % 3] as SiteProcess, `p${position}`, [])));
     await waitForVersion(engines, 'v2');
     isRolling = false;
     const answers = await Promise.all(asked);
--- a/tests/site/service-failures.spec.ts
+++ b/tests/site/service-failures.spec.ts
@@ -57,7 +57,7 @@
     };
   };
 
-  const readName = ({ text }: { text: string }): string => (
+  const readErrorName = ({ text }: { text: string }): string => (
     (JSON.parse(text) as { error: { name: string } }).error.name);
 
   it('should pass method, path, headers and body, and the answer back', async () => {
@@ -91,7 +91,7 @@
     await site.kill(first);
     await lost;
     const again = await askForRoom(second, 'k');
-    expect([again.status, readName(again)]).toEqual([502, 'outcomeUnknown']);
+    expect([again.status, readErrorName(again)]).toEqual([502, 'outcomeUnknown']);
     expect(service.calls).toHaveLength(1);
   });
 
@@ -106,8 +106,8 @@
     await waitUntil('the call has arrived', () => service.calls.length === 1);
     service.crash();
     const other = await addService('s2');
-    expect(readName(await asked)).toBe('outcomeUnknown');
-    expect(readName(await askForRoom(second, 'k'))).toBe('outcomeUnknown');
+    expect(readErrorName(await asked)).toBe('outcomeUnknown');
+    expect(readErrorName(await askForRoom(second, 'k'))).toBe('outcomeUnknown');
     expect(other.calls).toHaveLength(0);
   });
 
