--- a/src/control/claimHolder.ts
+++ b/src/control/claimHolder.ts
@@ -4,7 +4,7 @@
 } from '../protocol/generated/beechlift';
 import { ZERO_BALLOT } from '../core/claims/ballot';
 import {
-  acceptClaim, DEFAULT_CLAIM_BOUNDS, expireClaims, listRecords, makeClaimTable, mergeClaim,
+  acceptClaim, DEFAULT_CLAIM_BOUNDS, expireClaims, listClaimRecords, makeClaimTable, mergeClaim,
   prepareClaim,
 } from '../core/claims/claimTable';
 import type { ClaimBounds, ClaimDecision, ClaimTable } from '../core/claims/claimTable';
@@ -91,7 +91,7 @@
     const start = keys.findIndex((key) => key > request.afterKey);
     const batch = start < 0 ? [] : keys.slice(start, start + COPY_BATCH);
     const wanted = new Set(batch);
-    const claims = listRecords(this.table).filter(({ key }) => wanted.has(key));
+    const claims = listClaimRecords(this.table).filter(({ key }) => wanted.has(key));
     return { claims, lastKey: batch.at(-1) ?? '', code: 0 };
   }
 
@@ -111,7 +111,7 @@
   /** Forgets what is past its retention, and rewrites the file when most of it is stale. */
   async expire(): Promise<void> {
     expireClaims(this.table, this.bounds, this.clock.now());
-    if (this.store.needsCompaction) await this.store.compact(() => listRecords(this.table));
+    if (this.store.needsCompaction) await this.store.compact(() => listClaimRecords(this.table));
   }
 
   /** Closes the file. */
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -5,7 +5,7 @@
 import { HeartbeatReply as HeartbeatReplyCodec } from '../protocol/generated/beechlift';
 import type { LogRole, Snapshot, StoredLog } from '../core/log/logTypes';
 import {
-  computeMembers, noteMember, trimMembers,
+  computeMembers, recordHeartbeat, removeStaleMembers,
 } from '../core/membership/memberTable';
 import type { MemberTable } from '../core/membership/memberTable';
 import {
@@ -122,7 +122,7 @@
     this.runner.handle({ kind: 'tick' });
     if (!this.runner.holdsLease || this.proposing) return;
     const now = this.clock.now();
-    trimMembers(this.heard, now);
+    removeStaleMembers(this.heard, now);
     const command = this.planCommand(now);
     if (command) this.proposeQuietly(command);
     else this.continueReplacement();
@@ -132,7 +132,7 @@
   handleHeartbeat(request: HeartbeatRequest): HeartbeatReply {
     if (!this.runner.holdsLease) return this.answerNotLeading();
     if (request.member) {
-      noteMember(this.heard, request.member, request.manifestVersion, this.clock.now());
+      recordHeartbeat(this.heard, request.member, request.manifestVersion, this.clock.now());
     }
     return this.buildHeartbeatReply(request);
   }
@@ -173,7 +173,7 @@
       commitIndex: state.commitIndex,
       manifestVersion: this.site.manifest?.version ?? 0,
       manifestDigest: this.site.digest,
-      members: [...this.heard.values()].map(({ member, manifestVersion, heardAt }) => ({
+      members: [...this.heard.values()].map(({ member, manifestVersion, lastSeenAt: heardAt }) => ({
         member, manifestVersion, silentMs: Math.round(now - heardAt),
       })),
       holders: this.holders,
--- a/src/control/logRunner.ts
+++ b/src/control/logRunner.ts
@@ -2,7 +2,7 @@
 import type { LogEntry, LogMessage } from '../protocol/generated/beechlift';
 import { BeechliftError } from '../errors/beechliftError';
 import { handleLogEvent, holdsLeaderLease, isRoundConfirmed } from '../core/log/replicatedLog';
-import { makeLogState, REPLICAS_COMMAND } from '../core/log/logState';
+import { makeLogState, REPLICAS_COMMAND_PREFIX } from '../core/log/logState';
 import type { ReplicaStart } from '../core/log/logState';
 import type {
   LogEffect, LogEvent, LogRole, LogState, LogTimings, ReplicaSet, Snapshot, StoredLog,
@@ -209,7 +209,7 @@
   };
 
   private apply(entry: LogEntry): void {
-    const isSite = entry.command !== '' && !entry.command.startsWith(REPLICAS_COMMAND);
+    const isSite = entry.command !== '' && !entry.command.startsWith(REPLICAS_COMMAND_PREFIX);
     const result = isSite ? this.listener.applyCommand(entry.command) : undefined;
     this.appliedIndex = entry.index;
     const proposal = this.proposals.get(entry.index);
--- a/src/control/replicaKeeper.ts
+++ b/src/control/replicaKeeper.ts
@@ -55,7 +55,7 @@
       ownId: state.id,
       replicas: state.replicas,
       newcomers: this.newcomers.list(now),
-      silent: new Set(this.listSilent(state, leadingSince, now)),
+      unresponsive: new Set(this.listSilent(state, leadingSince, now)),
       caughtUp: new Set(this.listCaughtUp(state)),
       voterCount: this.voterCount,
     });
--- a/src/core/claims/claimQuorum.ts
+++ b/src/core/claims/claimQuorum.ts
@@ -11,10 +11,10 @@
   const byId = new Map(replicas.map((replica) => [replica.id, replica]));
   const ranked = rankByRendezvous(`claim:${key}`, [...byId.keys()])
     .flatMap((id) => byId.get(id) ?? []);
-  const firstOfZone = ranked.filter((replica, position) => (
+  const firstPerZone = ranked.filter((replica, position) => (
     ranked.findIndex(({ zone }) => zone === replica.zone) === position));
-  const others = ranked.filter((replica) => !firstOfZone.includes(replica));
-  return [...firstOfZone, ...others].slice(0, HOLDERS_PER_CLAIM);
+  const others = ranked.filter((replica) => !firstPerZone.includes(replica));
+  return [...firstPerZone, ...others].slice(0, HOLDERS_PER_CLAIM);
 };
 
 /** The groups that must each agree by majority: one, or two while holders are being replaced. */
@@ -47,7 +47,7 @@
 /** What the replies so far mean. */
 export type QuorumState = 'won' | 'lost' | 'open';
 
-const countGroup = (
+const countMembers = (
   group: readonly Replica[],
   ids: ReadonlySet<string>,
 ): number => group.filter(({ id }) => ids.has(id)).length;
@@ -59,7 +59,7 @@
  * @example
  * const state = judgeQuorum(groups, replies, failed);
  */
-export const judgeQuorum = (
+export const evaluateQuorum = (
   { groups }: HolderGroups,
   replies: ClaimReplies,
   failed: ReadonlySet<string>,
@@ -68,9 +68,9 @@
   const refused = new Set([...replies].filter(([, reply]) => !reply.ok).map(([id]) => id));
   const against = new Set([...refused, ...failed]);
   if (groups.length === 0) return 'lost';
-  if (groups.every((group) => countGroup(group, agreed) > group.length / 2)) return 'won';
-  const hopeless = groups.some((group) => countGroup(group, against) >= group.length / 2);
-  return hopeless ? 'lost' : 'open';
+  if (groups.every((group) => countMembers(group, agreed) > group.length / 2)) return 'won';
+  const isLost = groups.some((group) => countMembers(group, against) >= group.length / 2);
+  return isLost ? 'lost' : 'open';
 };
 
 /**
@@ -79,7 +79,7 @@
  * @example
  * const value = findBoundValue(replies.values());
  */
-export const findBoundValue = (replies: Iterable<ClaimReply>): ClaimValue | undefined => {
+export const findAcceptedValue = (replies: Iterable<ClaimReply>): ClaimValue | undefined => {
   const [newest] = [...replies]
     .filter((reply) => reply.ok && reply.value !== undefined)
     .sort((a, b) => compareBallots(b.accepted ?? ZERO_BALLOT, a.accepted ?? ZERO_BALLOT));
@@ -92,11 +92,11 @@
  * @example
  * const ballot = raiseBallot('e1:7f3a', replies.values());
  */
-export const raiseBallot = (
+export const computeNextBallot = (
   proposer: string,
   seen: Iterable<ClaimReply>,
-  lowest: Ballot = ZERO_BALLOT,
+  minimum: Ballot = ZERO_BALLOT,
 ): Ballot => {
   const rounds = [...seen].map(({ promised }) => promised?.round ?? 0);
-  return { round: Math.max(lowest.round, 0, ...rounds) + 1, proposer };
+  return { round: Math.max(minimum.round, 0, ...rounds) + 1, proposer };
 };
--- a/src/core/claims/claimTable.ts
+++ b/src/core/claims/claimTable.ts
@@ -55,7 +55,7 @@
   key, promised, accepted, value,
 });
 
-const decide = (
+const makeDecision = (
   claim: ClaimEntity,
   ok: boolean,
   code: ResultCode | 'accepted',
@@ -99,11 +99,11 @@
   now: number,
 ): ClaimDecision => {
   const claim = table.claims.get(key) ?? makeClaim(key, now);
-  if (isFull(table, key, bounds)) return decide(claim, false, 'claimsFull');
-  if (compareBallots(ballot, claim.promised) <= 0) return decide(claim, false, 'ballotTooLow');
+  if (isFull(table, key, bounds)) return makeDecision(claim, false, 'claimsFull');
+  if (compareBallots(ballot, claim.promised) <= 0) return makeDecision(claim, false, 'ballotTooLow');
   claim.promised = ballot;
   touchClaim(table, claim, now);
-  return decide(claim, true, 'accepted');
+  return makeDecision(claim, true, 'accepted');
 };
 
 /*
@@ -119,14 +119,14 @@
   now: number,
 ): ClaimDecision => {
   const claim = table.claims.get(key) ?? makeClaim(key, now);
-  if (isFull(table, key, bounds)) return decide(claim, false, 'claimsFull');
-  if (compareBallots(ballot, claim.promised) < 0) return decide(claim, false, 'ballotTooLow');
+  if (isFull(table, key, bounds)) return makeDecision(claim, false, 'claimsFull');
+  if (compareBallots(ballot, claim.promised) < 0) return makeDecision(claim, false, 'ballotTooLow');
   table.bytes += countBytes(value) - countBytes(claim.value);
   claim.promised = ballot;
   claim.accepted = ballot;
   claim.value = value;
   touchClaim(table, claim, now);
-  return decide(claim, true, 'accepted');
+  return makeDecision(claim, true, 'accepted');
 };
 
 /**
@@ -167,6 +167,6 @@
 };
 
 /** All claims as records, for a compacted file or another holder. */
-export const listRecords = (table: ClaimTable): ClaimRecord[] => (
+export const listClaimRecords = (table: ClaimTable): ClaimRecord[] => (
   [...table.claims.values()].map(makeRecord)
 );
--- a/src/core/log/election.ts
+++ b/src/core/log/election.ts
@@ -2,7 +2,7 @@
 import { startLeading } from './replication';
 import {
   addEffect, becomeFollower, hasMajority, isVoter, listPeers, persistState, readLastIndex,
-  readLastTerm, resetElectionTime, resetPreVoteTime, sendMessage,
+  readLastTerm, resetElectionTimer, resetPreVoteTimer, sendMessage,
 } from './logState';
 import type { LogMessageKind, LogState, LogStep } from './logTypes';
 
@@ -19,11 +19,11 @@
  * old one still grants configuration leases on an older version. The leader itself counts the same
  * time from before it sent, less a margin, so its lease ends first.
  */
-const hearsLeader = ({ state, now }: LogStep): boolean => (
-  state.role === 'leader' || now - state.lastLeaderContactAt < state.timings.electionMs
+const hasLeaderContact = ({ state, now }: LogStep): boolean => (
+  state.role === 'leader' || now - state.lastLeaderContactAt < state.timings.electionTimeoutMs
 );
 
-const askVotes = (step: LogStep, kind: LogMessageKind, term: number): void => {
+const requestVotes = (step: LogStep, kind: LogMessageKind, term: number): void => {
   const { state } = step;
   const fields = { term, lastIndex: readLastIndex(state), lastTerm: readLastTerm(state) };
   listPeers(state)
@@ -38,11 +38,11 @@
   state.votedFor = state.id;
   state.leaderId = '';
   state.votes = new Set([state.id]);
-  resetElectionTime(step);
+  resetElectionTimer(step);
   persistState(step);
   addEffect(step, { kind: 'roleChanged', role: 'candidate', term: state.term });
   if (hasMajority(state, state.votes)) startLeading(step);
-  else askVotes(step, 'vote', state.term);
+  else requestVotes(step, 'vote', state.term);
 };
 
 /**
@@ -58,9 +58,9 @@
   state.role = 'preCandidate';
   state.leaderId = '';
   state.votes = new Set([state.id]);
-  resetPreVoteTime(step);
+  resetPreVoteTimer(step);
   if (hasMajority(state, state.votes)) startElection(step);
-  else askVotes(step, 'preVote', state.term + 1);
+  else requestVotes(step, 'preVote', state.term + 1);
 };
 
 /*
@@ -68,7 +68,7 @@
  * milliseconds: were both granted, both would stand, and a whole silence would pass before the next
  * try. Of two with the same log the one with the lower id goes first.
  */
-const isTurnOf = (state: LogState, message: LogMessage): boolean => {
+const hasTieBreakPriority = (state: LogState, message: LogMessage): boolean => {
   const isSameLog = message.lastTerm === readLastTerm(state)
     && message.lastIndex === readLastIndex(state);
   return state.role !== 'preCandidate' || !isSameLog || message.from < state.id;
@@ -77,10 +77,10 @@
 /** Answers a pre-vote; nothing is promised by it. */
 export const handlePreVote = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
-  const granted = !hearsLeader(step)
+  const granted = !hasLeaderContact(step)
     && message.term > state.term
     && isUpToDate(state, message)
-    && isTurnOf(state, message);
+    && hasTieBreakPriority(state, message);
   sendMessage(step, 'preVoteReply', message.from, {
     granted, term: granted ? message.term : state.term,
   });
@@ -101,16 +101,16 @@
 /** Votes at most once a term; the vote is synced before the answer leaves. */
 export const handleVote = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
-  if (message.term < state.term || (hearsLeader(step) && state.leaderId !== message.from)) {
+  if (message.term < state.term || (hasLeaderContact(step) && state.leaderId !== message.from)) {
     sendMessage(step, 'voteReply', message.from, { granted: false });
     return;
   }
   if (message.term > state.term) becomeFollower(step, message.term, '');
-  const free = state.votedFor === '' || state.votedFor === message.from;
-  const granted = free && isUpToDate(state, message);
+  const canVote = state.votedFor === '' || state.votedFor === message.from;
+  const granted = canVote && isUpToDate(state, message);
   if (granted) {
     state.votedFor = message.from;
-    resetElectionTime(step);
+    resetElectionTimer(step);
     persistState(step);
   }
   sendMessage(step, 'voteReply', message.from, { granted });
--- a/src/core/log/logState.ts
+++ b/src/core/log/logState.ts
@@ -5,7 +5,7 @@
 } from './logTypes';
 
 /** Prefix of a log command that changes the replica set rather than the state machine. */
-export const REPLICAS_COMMAND = 'replicas:';
+export const REPLICAS_COMMAND_PREFIX = 'replicas:';
 
 /**
  * Timings for sites whose availability zones are a few milliseconds apart. A follower stands for
@@ -15,8 +15,8 @@
  */
 export const DEFAULT_LOG_TIMINGS: LogTimings = {
   heartbeatMs: 75,
-  electionMs: 300,
-  preVoteMs: 75,
+  electionTimeoutMs: 300,
+  preVoteIntervalMs: 75,
   leaseMarginMs: 45,
 };
 
@@ -34,9 +34,9 @@
   entries: [],
 });
 
-const readReplicas = (entry: LogEntry): ReplicaSet | undefined => (
-  entry.command.startsWith(REPLICAS_COMMAND)
-    ? JSON.parse(entry.command.slice(REPLICAS_COMMAND.length)) as ReplicaSet
+const parseReplicaSet = (entry: LogEntry): ReplicaSet | undefined => (
+  entry.command.startsWith(REPLICAS_COMMAND_PREFIX)
+    ? JSON.parse(entry.command.slice(REPLICAS_COMMAND_PREFIX.length)) as ReplicaSet
     : undefined
 );
 
@@ -46,19 +46,19 @@
  * @example
  * state.replicas = findReplicas(state);
  */
-export const findReplicas = (state: Pick<LogState, 'entries' | 'snapshot'>): ReplicaSet => {
-  const entry = state.entries.findLast(({ command }) => command.startsWith(REPLICAS_COMMAND));
-  return (entry && readReplicas(entry)) ?? state.snapshot.replicas;
+export const findReplicaSet = (state: Pick<LogState, 'entries' | 'snapshot'>): ReplicaSet => {
+  const entry = state.entries.findLast(({ command }) => command.startsWith(REPLICAS_COMMAND_PREFIX));
+  return (entry && parseReplicaSet(entry)) ?? state.snapshot.replicas;
 };
 
 /**
  * Spread of the times at which replicas stand for election, as a part of the election time: many
  * times a round trip, so that one is usually elected before the next stands.
  */
-const ELECTION_SPREAD = 0.6;
+const ELECTION_JITTER = 0.6;
 
-const drawTime = (state: LogState, now: number, ms: number): number => (
-  now + ms * (1 + ELECTION_SPREAD * state.drawRandom())
+const drawDeadline = (state: LogState, now: number, ms: number): number => (
+  now + ms * (1 + ELECTION_JITTER * state.drawRandom())
 );
 
 /** When a replica began, in monotonic milliseconds. */
@@ -103,18 +103,18 @@
      * after all of a site was killed.
      */
     lastLeaderContactAt: startedAt,
-    heartbeatAt: 0,
+    nextHeartbeatAt: 0,
     votes: new Set(),
     peers: new Map(),
     round: 0,
     roundSentAt: new Map(),
     leaseUntil: 0,
-    incoming: undefined,
+    incomingSnapshot: undefined,
   };
-  state.replicas = findReplicas(state);
-  const leaseOverAt = startedAt + timings.electionMs;
-  const spreadMs = ELECTION_SPREAD * timings.preVoteMs * drawRandom();
-  state.electionAt = Math.max(now, leaseOverAt) + spreadMs;
+  state.replicas = findReplicaSet(state);
+  const leaseEndsAt = startedAt + timings.electionTimeoutMs;
+  const jitterMs = ELECTION_JITTER * timings.preVoteIntervalMs * drawRandom();
+  state.electionAt = Math.max(now, leaseEndsAt) + jitterMs;
   return state;
 };
 
@@ -181,13 +181,13 @@
 };
 
 /** Starts the wait for the next election anew. */
-export const resetElectionTime = ({ state, now }: LogStep): void => {
-  state.electionAt = drawTime(state, now, state.timings.electionMs);
+export const resetElectionTimer = ({ state, now }: LogStep): void => {
+  state.electionAt = drawDeadline(state, now, state.timings.electionTimeoutMs);
 };
 
 /** Starts the wait until votes are asked for again, where nobody is known to lead. */
-export const resetPreVoteTime = ({ state, now }: LogStep): void => {
-  state.electionAt = drawTime(state, now, state.timings.preVoteMs);
+export const resetPreVoteTimer = ({ state, now }: LogStep): void => {
+  state.electionAt = drawDeadline(state, now, state.timings.preVoteIntervalMs);
 };
 
 /** Steps down to follower, in a newer term or under a known leader. */
@@ -202,7 +202,7 @@
   state.role = 'follower';
   state.leaderId = leaderId;
   state.leaseUntil = 0;
-  resetElectionTime(step);
+  resetElectionTimer(step);
   if (changed) addEffect(step, { kind: 'roleChanged', role: 'follower', term: state.term });
 };
 
@@ -214,5 +214,5 @@
   }
   state.leaderId = message.from;
   state.lastLeaderContactAt = step.now;
-  resetElectionTime(step);
+  resetElectionTimer(step);
 };
--- a/src/core/log/logTypes.ts
+++ b/src/core/log/logTypes.ts
@@ -53,12 +53,12 @@
 export interface LogTimings {
   readonly heartbeatMs: number;
   /** Shortest silence after which a follower stands for election. */
-  readonly electionMs: number;
+  readonly electionTimeoutMs: number;
   /**
    * Shortest time after which a replica that hears no leader asks again whether it could be
    * elected. The question promises nothing and writes nothing, so it may be put often.
    */
-  readonly preVoteMs: number;
+  readonly preVoteIntervalMs: number;
   /** Held back from the lease of a leader against clocks that run at unlike rates. */
   readonly leaseMarginMs: number;
 }
@@ -82,7 +82,7 @@
   syncedIndex: number;
   electionAt: number;
   lastLeaderContactAt: number;
-  heartbeatAt: number;
+  nextHeartbeatAt: number;
   votes: Set<string>;
   peers: Map<string, PeerProgress>;
   round: number;
@@ -91,7 +91,7 @@
   /** Monotonic time until which no other leader can exist. */
   leaseUntil: number;
   /** Pieces of a snapshot that is being received. */
-  incoming: { index: number; term: number; pieces: Buffer[]; bytes: number } | undefined;
+  incomingSnapshot: { index: number; term: number; chunks: Buffer[]; bytes: number } | undefined;
 }
 
 /** What happens to a replica. */
--- a/src/core/log/replicaPlan.ts
+++ b/src/core/log/replicaPlan.ts
@@ -2,13 +2,13 @@
 import type { ReplicaSet } from './logTypes';
 
 /** What the leader knows when it looks after the replica set. */
-export interface ReplicaSituation {
+export interface ReplicaPlanInput {
   readonly ownId: string;
   readonly replicas: ReplicaSet;
   /** Replicas outside of the set that asked to take part and were heard of late. */
   readonly newcomers: readonly Replica[];
   /** Replicas that have acknowledged nothing for long. */
-  readonly silent: ReadonlySet<string>;
+  readonly unresponsive: ReadonlySet<string>;
   /** Learners that hold nearly all of the log. */
   readonly caughtUp: ReadonlySet<string>;
   /** Voters that the site is to have. */
@@ -26,41 +26,41 @@
   others.some(({ id, address }) => address === replica.address && id !== replica.id)
 );
 
-const listLost = ({
-  replicas, newcomers, silent, ownId,
-}: ReplicaSituation): Replica[] => {
+const listFailedVoters = ({
+  replicas, newcomers, unresponsive: unresponsive, ownId,
+}: ReplicaPlanInput): Replica[] => {
   const others = [...newcomers, ...replicas.learners, ...replicas.voters];
   return replicas.voters.filter((voter) => voter.id !== ownId
-    && (silent.has(voter.id) || isReplaced(voter, others)));
+    && (unresponsive.has(voter.id) || isReplaced(voter, others)));
 };
 
 const replaceLearners = (replicas: ReplicaSet, learners: readonly Replica[]): ReplicaSet => (
   { ...replicas, learners }
 );
 
-const admitNewcomer = ({ replicas, newcomers }: ReplicaSituation): ReplicaSet | undefined => {
+const addLearner = ({ replicas, newcomers }: ReplicaPlanInput): ReplicaSet | undefined => {
   const known = new Set([...replicas.voters, ...replicas.learners].map(({ id }) => id));
   const newcomer = newcomers.find(({ id }) => !known.has(id));
   if (!newcomer || replicas.learners.length >= MAX_LEARNERS) return undefined;
   return replaceLearners(replicas, [...replicas.learners, newcomer]);
 };
 
-const listHeardLearners = ({ replicas, newcomers, silent }: ReplicaSituation): Replica[] => (
+const listHealthyLearners = ({ replicas, newcomers, unresponsive: unresponsive }: ReplicaPlanInput): Replica[] => (
   replicas.learners.filter((learner) => (
-    !silent.has(learner.id) && !isReplaced(learner, newcomers)))
+    !unresponsive.has(learner.id) && !isReplaced(learner, newcomers)))
 );
 
-const dropLostLearner = (situation: ReplicaSituation): ReplicaSet | undefined => {
-  const { replicas } = situation;
-  const heard = listHeardLearners(situation);
-  return heard.length === replicas.learners.length ? undefined : replaceLearners(replicas, heard);
+const removeFailedLearners = (input: ReplicaPlanInput): ReplicaSet | undefined => {
+  const { replicas } = input;
+  const healthy = listHealthyLearners(input);
+  return healthy.length === replicas.learners.length ? undefined : replaceLearners(replicas, healthy);
 };
 
-const promoteLearner = (situation: ReplicaSituation): ReplicaSet | undefined => {
-  const { replicas, caughtUp, voterCount } = situation;
-  const learner = listHeardLearners(situation).find(({ id }) => caughtUp.has(id));
+const promoteLearner = (input: ReplicaPlanInput): ReplicaSet | undefined => {
+  const { replicas, caughtUp, voterCount } = input;
+  const learner = listHealthyLearners(input).find(({ id }) => caughtUp.has(id));
   if (!learner || replicas.voters.length > voterCount) return undefined;
-  const isNeeded = replicas.voters.length < voterCount || listLost(situation).length > 0;
+  const isNeeded = replicas.voters.length < voterCount || listFailedVoters(input).length > 0;
   if (!isNeeded) return undefined;
   return {
     ...replicas,
@@ -69,11 +69,11 @@
   };
 };
 
-const retireLost = (situation: ReplicaSituation): ReplicaSet | undefined => {
-  const { replicas, voterCount } = situation;
-  const [lost] = listLost(situation);
-  if (!lost || replicas.voters.length <= voterCount) return undefined;
-  return { ...replicas, voters: replicas.voters.filter(({ id }) => id !== lost.id) };
+const removeFailedVoter = (input: ReplicaPlanInput): ReplicaSet | undefined => {
+  const { replicas, voterCount } = input;
+  const [failed] = listFailedVoters(input);
+  if (!failed || replicas.voters.length <= voterCount) return undefined;
+  return { ...replicas, voters: replicas.voters.filter(({ id }) => id !== failed.id) };
 };
 
 /**
@@ -85,9 +85,9 @@
  * const next = planReplicas(situation);
  * if (next) runner.changeReplicas(next);
  */
-export const planReplicas = (situation: ReplicaSituation): ReplicaSet | undefined => (
-  retireLost(situation)
-    ?? promoteLearner(situation)
-    ?? dropLostLearner(situation)
-    ?? admitNewcomer(situation)
+export const planReplicas = (input: ReplicaPlanInput): ReplicaSet | undefined => (
+  removeFailedVoter(input)
+    ?? promoteLearner(input)
+    ?? removeFailedLearners(input)
+    ?? addLearner(input)
 );
--- a/src/core/log/replicatedLog.ts
+++ b/src/core/log/replicatedLog.ts
@@ -3,8 +3,8 @@
   handlePreVote, handlePreVoteReply, handleVote, handleVoteReply, startPreVote,
 } from './election';
 import {
-  broadcastAppend, dropLeaderLease, handleAppend, handleAppendReply, handleChangeReplicas,
-  handlePropose, handleSynced, repeatAppend,
+  broadcastAppend, resetLeaderLease, handleAppend, handleAppendReply, handleChangeReplicas,
+  handlePropose, handleSynced, resendAppends,
 } from './replication';
 import { findTerm, hasMajority } from './logState';
 import { handleSnapshot, handleSnapshotReply, handleSnapshotTaken } from './snapshotTransfer';
@@ -35,7 +35,7 @@
 const handleTick = (step: LogStep): void => {
   const { state, now } = step;
   if (state.role === 'leader') {
-    if (now >= state.heartbeatAt) repeatAppend(step);
+    if (now >= state.nextHeartbeatAt) resendAppends(step);
     return;
   }
   if (now >= state.electionAt) startPreVote(step);
@@ -49,7 +49,7 @@
   tick: (step) => handleTick(step),
   message: (step, event) => handleMessage(step, event.message),
   propose: (step, event) => handlePropose(step, event.command),
-  suspended: (step) => dropLeaderLease(step),
+  suspended: (step) => resetLeaderLease(step),
   confirm: (step) => {
     if (step.state.role === 'leader') broadcastAppend(step);
   },
--- a/src/core/log/replication.ts
+++ b/src/core/log/replication.ts
@@ -1,8 +1,8 @@
 import type { LogEntry, LogMessage } from '../../protocol/generated/beechlift';
-import { continueSnapshot } from './snapshotSender';
+import { sendSnapshotChunk } from './snapshotSender';
 import {
-  addEffect, becomeFollower, findEntry, findReplicas, findTerm, followLeader, hasMajority, isVoter,
-  listPeers, persistState, readLastIndex, REPLICAS_COMMAND, sendMessage,
+  addEffect, becomeFollower, findEntry, findReplicaSet, findTerm, followLeader, hasMajority, isVoter,
+  listPeers, persistState, readLastIndex, REPLICAS_COMMAND_PREFIX, sendMessage,
 } from './logState';
 import type {
   LogState, LogStep, PeerProgress, ReplicaSet,
@@ -41,7 +41,7 @@
 /*
  * Guards the network against a peer that is down: it gets empty appends until it acknowledges one.
  */
-const isSilent = (state: LogState, progress: PeerProgress): boolean => (
+const isUnresponsive = (state: LogState, progress: PeerProgress): boolean => (
   state.round - progress.ackedRound > MAX_UNACKED_ROUNDS
 );
 
@@ -49,11 +49,11 @@
   const { state } = step;
   const progress = findProgress(state, id);
   if (progress.nextIndex <= state.snapshot.index) {
-    continueSnapshot(step, id, progress);
+    sendSnapshotChunk(step, id, progress);
     return;
   }
   const previous = progress.nextIndex - 1;
-  const entries = isSilent(state, progress) ? [] : pickBatch(state, progress.nextIndex);
+  const entries = isUnresponsive(state, progress) ? [] : pickBatch(state, progress.nextIndex);
   sendMessage(step, 'append', id, {
     lastIndex: previous,
     lastTerm: findTerm(state, previous) ?? 0,
@@ -65,7 +65,7 @@
   progress.nextIndex += entries.length;
 };
 
-const trimRounds = (state: LogState): void => {
+const removeOldRounds = (state: LogState): void => {
   const oldest = state.round - MAX_ROUNDS_KEPT;
   [...state.roundSentAt.keys()]
     .filter((round) => round < oldest)
@@ -84,7 +84,7 @@
   });
   if (acked === undefined) return;
   const sentAt = state.roundSentAt.get(acked) ?? now;
-  const until = sentAt + state.timings.electionMs - state.timings.leaseMarginMs;
+  const until = sentAt + state.timings.electionTimeoutMs - state.timings.leaseMarginMs;
   state.leaseUntil = Math.max(state.leaseUntil, until);
 };
 
@@ -93,7 +93,7 @@
  * lease it counts looks valid while another leader may have been elected. Rounds sent before count
  * for nothing; the next one that a majority acknowledges renews the lease.
  */
-export const dropLeaderLease = ({ state }: LogStep): void => {
+export const resetLeaderLease = ({ state }: LogStep): void => {
   state.leaseUntil = 0;
   state.roundSentAt.clear();
 };
@@ -103,14 +103,14 @@
   const { state, now } = step;
   state.round += 1;
   state.roundSentAt.set(state.round, now);
-  trimRounds(state);
-  state.heartbeatAt = now + state.timings.heartbeatMs;
+  removeOldRounds(state);
+  state.nextHeartbeatAt = now + state.timings.heartbeatMs;
   listPeers(state).forEach((id) => sendAppend(step, id));
   renewLeaderLease(step);
 };
 
 /** Winds back to what is acknowledged, against appends that were lost, and sends a round. */
-export const repeatAppend = (step: LogStep): void => {
+export const resendAppends = (step: LogStep): void => {
   step.state.peers.forEach((progress) => {
     if (progress.matchIndex > 0) progress.nextIndex = progress.matchIndex + 1;
   });
@@ -121,7 +121,7 @@
   const { state } = step;
   const entry: LogEntry = { index: readLastIndex(state) + 1, term: state.term, command };
   state.entries.push(entry);
-  state.replicas = findReplicas(state);
+  state.replicas = findReplicaSet(state);
   persistState(step, [entry]);
   return entry;
 };
@@ -148,7 +148,7 @@
   broadcastAppend(step);
 };
 
-const countChanges = (from: ReplicaSet, to: ReplicaSet): number => {
+const countVoterChanges = (from: ReplicaSet, to: ReplicaSet): number => {
   const before = from.voters.map(({ id }) => id);
   const after = to.voters.map(({ id }) => id);
   return before.filter((id) => !after.includes(id)).length
@@ -161,16 +161,16 @@
  */
 const canChangeReplicas = (state: LogState, replicas: ReplicaSet): boolean => {
   const pending = state.entries.some(({ index, command }) => (
-    index > state.commitIndex && command.startsWith(REPLICAS_COMMAND)));
+    index > state.commitIndex && command.startsWith(REPLICAS_COMMAND_PREFIX)));
   const ownTerm = findTerm(state, state.commitIndex) === state.term;
-  return !pending && ownTerm && countChanges(state.replicas, replicas) <= 1;
+  return !pending && ownTerm && countVoterChanges(state.replicas, replicas) <= 1;
 };
 
 /** Changes the replica set by one voter, when none is being changed. */
 export const handleChangeReplicas = (step: LogStep, replicas: ReplicaSet): void => {
   const { state } = step;
   if (state.role !== 'leader' || !canChangeReplicas(state, replicas)) return;
-  handlePropose(step, `${REPLICAS_COMMAND}${JSON.stringify(replicas)}`);
+  handlePropose(step, `${REPLICAS_COMMAND_PREFIX}${JSON.stringify(replicas)}`);
 };
 
 /** Hands committed entries to the state machine, in order. */
@@ -231,11 +231,11 @@
   truncateFrom(state, first.index);
   const added = entries.filter(({ index }) => index >= first.index);
   state.entries.push(...added);
-  state.replicas = findReplicas(state);
+  state.replicas = findReplicaSet(state);
   persistState(step, added);
 };
 
-const refuseAppend = (step: LogStep, message: LogMessage): void => {
+const rejectAppend = (step: LogStep, message: LogMessage): void => {
   const hint = Math.min(readLastIndex(step.state), message.lastIndex - 1);
   sendMessage(step, 'appendReply', message.from, {
     granted: false, matchIndex: Math.max(hint, step.state.snapshot.index), round: message.round,
@@ -252,7 +252,7 @@
   followLeader(step, message);
   const compacted = message.lastIndex < state.snapshot.index;
   if (!compacted && findTerm(state, message.lastIndex) !== message.lastTerm) {
-    refuseAppend(step, message);
+    rejectAppend(step, message);
     return;
   }
   storeEntries(step, message.entries);
@@ -264,7 +264,7 @@
   });
 };
 
-const noteMatch = (step: LogStep, id: string, progress: PeerProgress, matchIndex: number): void => {
+const updateMatchIndex = (step: LogStep, id: string, progress: PeerProgress, matchIndex: number): void => {
   const { state } = step;
   progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
@@ -284,7 +284,7 @@
   progress.ackedRound = Math.max(progress.ackedRound, message.round);
   renewLeaderLease(step);
   if (message.granted) {
-    noteMatch(step, message.from, progress, message.matchIndex);
+    updateMatchIndex(step, message.from, progress, message.matchIndex);
     return;
   }
   progress.nextIndex = Math.max(
--- a/src/core/log/snapshotSender.ts
+++ b/src/core/log/snapshotSender.ts
@@ -9,7 +9,7 @@
 );
 
 /** Sends the next chunk of the snapshot to a peer that needs entries which are compacted. */
-export const continueSnapshot = (step: LogStep, id: string, progress: PeerProgress): void => {
+export const sendSnapshotChunk = (step: LogStep, id: string, progress: PeerProgress): void => {
   const { snapshot, round } = step.state;
   if (progress.snapshotOffset < 0) progress.snapshotOffset = 0;
   const bytes = encodeSnapshot(snapshot);
--- a/src/core/log/snapshotTransfer.ts
+++ b/src/core/log/snapshotTransfer.ts
@@ -1,42 +1,42 @@
 import type { LogMessage } from '../../protocol/generated/beechlift';
 import { handleAppendReply } from './replication';
-import { continueSnapshot } from './snapshotSender';
+import { sendSnapshotChunk } from './snapshotSender';
 import {
-  addEffect, findReplicas, followLeader, findTerm, readHardState, readLastIndex, sendMessage,
+  addEffect, findReplicaSet, followLeader, findTerm, readHardState, readLastIndex, sendMessage,
 } from './logState';
 import type {
   LogState, LogStep, Snapshot,
 } from './logTypes';
 
-const collectChunk = (state: LogState, message: LogMessage): void => {
-  const { incoming } = state;
-  const same = incoming?.index === message.lastIndex && incoming.term === message.lastTerm;
-  if (message.offset === 0 || !same) {
-    state.incoming = {
-      index: message.lastIndex, term: message.lastTerm, pieces: [], bytes: 0,
+const appendChunk = (state: LogState, message: LogMessage): void => {
+  const { incomingSnapshot: incomingSnapshot } = state;
+  const isSameSnapshot = incomingSnapshot?.index === message.lastIndex && incomingSnapshot.term === message.lastTerm;
+  if (message.offset === 0 || !isSameSnapshot) {
+    state.incomingSnapshot = {
+      index: message.lastIndex, term: message.lastTerm, chunks: [], bytes: 0,
     };
   }
-  const target = state.incoming;
-  if (!target || target.bytes !== message.offset) return;
-  target.pieces.push(Buffer.from(message.chunk));
-  target.bytes += message.chunk.length;
+  const incoming = state.incomingSnapshot;
+  if (!incoming || incoming.bytes !== message.offset) return;
+  incoming.chunks.push(Buffer.from(message.chunk));
+  incoming.bytes += message.chunk.length;
 };
 
 const installSnapshot = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
-  const pieces = state.incoming?.pieces ?? [];
-  state.incoming = undefined;
+  const chunks = state.incomingSnapshot?.chunks ?? [];
+  state.incomingSnapshot = undefined;
   if (message.lastIndex <= state.commitIndex) return;
   const { replicas, data } = JSON.parse(
-    Buffer.concat(pieces).toString(),
+    Buffer.concat(chunks).toString(),
   ) as Pick<Snapshot, 'replicas' | 'data'>;
-  const keepsTail = findTerm(state, message.lastIndex) === message.lastTerm;
-  const tail = keepsTail ? state.entries.filter(({ index }) => index > message.lastIndex) : [];
+  const hasMatchingEntry = findTerm(state, message.lastIndex) === message.lastTerm;
+  const tail = hasMatchingEntry ? state.entries.filter(({ index }) => index > message.lastIndex) : [];
   state.snapshot = {
     index: message.lastIndex, term: message.lastTerm, replicas, data,
   };
   state.entries = tail;
-  state.replicas = findReplicas(state);
+  state.replicas = findReplicaSet(state);
   state.commitIndex = message.lastIndex;
   state.appliedIndex = message.lastIndex;
   state.syncedIndex = Math.max(
@@ -57,12 +57,12 @@
     return;
   }
   followLeader(step, message);
-  collectChunk(state, message);
-  const received = state.incoming?.bytes ?? 0;
-  const whole = message.done && received === message.offset + message.chunk.length;
-  if (whole) installSnapshot(step, message);
+  appendChunk(state, message);
+  const received = state.incomingSnapshot?.bytes ?? 0;
+  const isComplete = message.done && received === message.offset + message.chunk.length;
+  if (isComplete) installSnapshot(step, message);
   sendMessage(step, 'snapshotReply', message.from, {
-    offset: received, done: whole, matchIndex: message.lastIndex, round: message.round,
+    offset: received, done: isComplete, matchIndex: message.lastIndex, round: message.round,
   });
 };
 
@@ -81,7 +81,7 @@
   }
   // A chunk of an older snapshot: the transfer starts again with the newest one.
   progress.snapshotOffset = message.matchIndex === state.snapshot.index ? message.offset : 0;
-  continueSnapshot(step, message.from, progress);
+  sendSnapshotChunk(step, message.from, progress);
 };
 
 /** Replaces applied entries by a snapshot that the state machine gave. */
@@ -90,7 +90,7 @@
   const term = findTerm(state, index);
   if (term === undefined || index <= state.snapshot.index || index > state.appliedIndex) return;
   const covered = state.entries.filter((entry) => entry.index <= index);
-  const replicas = findReplicas({ entries: covered, snapshot: state.snapshot });
+  const replicas = findReplicaSet({ entries: covered, snapshot: state.snapshot });
   state.entries = state.entries.filter((entry) => entry.index > index);
   state.snapshot = {
     index, term, replicas, data,
--- a/src/core/membership/locate.ts
+++ b/src/core/membership/entrySelection.ts
@@ -2,7 +2,7 @@
 import { rankByRendezvous } from '../../utils/rendezvous';
 
 /** Entry VMs of a view that may own pools: those that are not leaving. */
-export const listActive = (members: readonly Member[]): Member[] => (
+export const listActiveMembers = (members: readonly Member[]): Member[] => (
   members.filter(({ state }) => state === 'active')
 );
 
@@ -13,7 +13,7 @@
  * const owner = findOwner(view.members, 'fast');
  */
 export const findOwner = (members: readonly Member[], pool: string): Member | undefined => {
-  const active = listActive(members);
+  const active = listActiveMembers(members);
   const [id] = rankByRendezvous(`pool:${pool}`, active.map((member) => member.id));
   return active.find((member) => member.id === id);
 };
@@ -32,11 +32,11 @@
   account: string,
   zone: string,
 ): Member[] => {
-  const active = listActive(members);
+  const active = listActiveMembers(members);
   const byId = new Map(active.map((member) => [member.id, member]));
-  const spread = rankByRendezvous(`account:${account}`, active.map(({ id }) => id))
+  const ranked = rankByRendezvous(`account:${account}`, active.map(({ id }) => id))
     .flatMap((id) => byId.get(id) ?? []);
-  const near = spread.filter((member) => member.zone === zone);
-  const far = spread.filter((member) => member.zone !== zone);
-  return [...near, ...far].slice(0, MAX_ADDRESSES);
+  const sameZone = ranked.filter((member) => member.zone === zone);
+  const otherZones = ranked.filter((member) => member.zone !== zone);
+  return [...sameZone, ...otherZones].slice(0, MAX_ADDRESSES);
 };
--- a/src/core/membership/memberTable.ts
+++ b/src/core/membership/memberTable.ts
@@ -1,17 +1,17 @@
 import type { Member } from '../../protocol/generated/beechlift';
 
 /** Silence after which an entry counts as failed, in milliseconds. */
-export const MEMBER_SILENCE_MS = 2_000;
+export const MEMBER_TIMEOUT_MS = 2_000;
 
 /** What the leader has heard of an entry. */
-export interface HeardMember {
+export interface MemberHeartbeat {
   readonly member: Member;
-  readonly heardAt: number;
+  readonly lastSeenAt: number;
   readonly manifestVersion: number;
 }
 
 /** Entries by id, as the leader hears them. Not replicated: a new leader hears them anew. */
-export type MemberTable = Map<string, HeardMember>;
+export type MemberTable = Map<string, MemberHeartbeat>;
 
 const MAX_MEMBERS = 2_000;
 
@@ -21,14 +21,14 @@
  * @example
  * noteMember(table, member, 7, clock.now());
  */
-export const noteMember = (
+export const recordHeartbeat = (
   table: MemberTable,
   member: Member,
   manifestVersion: number,
   now: number,
 ): void => {
   if (!table.has(member.id) && table.size >= MAX_MEMBERS) return;
-  table.set(member.id, { member, heardAt: now, manifestVersion });
+  table.set(member.id, { member, lastSeenAt: now, manifestVersion });
 };
 
 const isSame = (a: Member, b: Member): boolean => a.id === b.id
@@ -38,22 +38,22 @@
   && a.callerAddress === b.callerAddress
   && a.zone === b.zone;
 
-const isSilent = (
-  heard: HeardMember,
+const hasTimedOut = (
+  heartbeat: MemberHeartbeat,
   now: number,
-): boolean => now - heard.heardAt > MEMBER_SILENCE_MS;
+): boolean => now - heartbeat.lastSeenAt > MEMBER_TIMEOUT_MS;
 
 /*
  * Guards against throwing all entries out of the view because a new leader has not heard from them
  * yet: for one silence time after it took over, a member that it has not heard of stays as the old
  * view has it.
  */
-const keepUnheard = (
+const isAwaitingHeartbeat = (
   member: Member,
   table: MemberTable,
   leadingSince: number,
   now: number,
-): boolean => !table.has(member.id) && now - leadingSince <= MEMBER_SILENCE_MS;
+): boolean => !table.has(member.id) && now - leadingSince <= MEMBER_TIMEOUT_MS;
 
 /**
  * Computes who should be in the view, or undefined when that is how it stands.
@@ -68,11 +68,11 @@
   leadingSince: number,
   now: number,
 ): Member[] | undefined => {
-  const unheard = current.filter((member) => keepUnheard(member, table, leadingSince, now));
-  const heard = [...table.values()]
-    .filter((item) => !isSilent(item, now) && item.member.state !== 'gone')
+  const retained = current.filter((member) => isAwaitingHeartbeat(member, table, leadingSince, now));
+  const live = [...table.values()]
+    .filter((item) => !hasTimedOut(item, now) && item.member.state !== 'gone')
     .map(({ member }) => member);
-  const next = [...unheard, ...heard].sort((a, b) => (a.id < b.id ? -1 : 1));
+  const next = [...retained, ...live].sort((a, b) => (a.id < b.id ? -1 : 1));
   const same = next.length === current.length
     && next.every((member, position) => {
       const other = current[position];
@@ -82,8 +82,8 @@
 };
 
 /** Forgets entries that have been silent for long. */
-export const trimMembers = (table: MemberTable, now: number): void => {
+export const removeStaleMembers = (table: MemberTable, now: number): void => {
   [...table.values()]
-    .filter((heard) => now - heard.heardAt > 10 * MEMBER_SILENCE_MS)
+    .filter((heartbeat) => now - heartbeat.lastSeenAt > 10 * MEMBER_TIMEOUT_MS)
     .forEach(({ member }) => table.delete(member.id));
 };
--- a/src/core/membership/siteState.ts
+++ b/src/core/membership/siteState.ts
@@ -25,7 +25,7 @@
 }
 
 /** What changed from one accepted manifest to the next. */
-export interface KeptDelta {
+export interface RecentDelta {
   readonly baseVersion: number;
   readonly baseDigest: string;
   readonly changes: readonly SectionChange[];
@@ -41,7 +41,7 @@
   viewNumber: number;
   holders: AgreedHolders;
   /** Not part of the replicated state: kept to send less. */
-  deltas: KeptDelta[];
+  deltas: RecentDelta[];
 }
 
 const MAX_ACCEPTED = 4_096;
@@ -58,15 +58,15 @@
   deltas: [],
 });
 
-const readVersion = (state: SiteState): number => state.manifest?.version ?? 0;
+const getVersion = (state: SiteState): number => state.manifest?.version ?? 0;
 
-const answerTaken = (version: number, digest: string, held: string): SubmitResult => (
-  held === digest
+const resolveKnownVersion = (version: number, digest: string, acceptedDigest: string): SubmitResult => (
+  acceptedDigest === digest
     ? {
       code: 'accepted', version, digest, message: 'accepted before',
     }
     : {
-      code: 'versionTaken', version, digest: held, message: `version ${version} is held by digest ${held}`,
+      code: 'versionTaken', version, digest: acceptedDigest, message: `version ${version} is held by digest ${acceptedDigest}`,
     }
 );
 
@@ -83,9 +83,9 @@
   digest: string,
 ): SubmitResult => {
   const { version, basedOn } = manifest;
-  const held = state.accepted.get(version);
-  if (held !== undefined) return answerTaken(version, digest, held);
-  const current = readVersion(state);
+  const acceptedDigest = state.accepted.get(version);
+  if (acceptedDigest !== undefined) return resolveKnownVersion(version, digest, acceptedDigest);
+  const current = getVersion(state);
   if (version <= current) {
     return {
       code: 'versionTooLow', version: current, digest: state.digest, message: `version ${version} is below ${current}, which is in force`,
@@ -101,7 +101,7 @@
   };
 };
 
-const keepDelta = (state: SiteState, next: Manifest): void => {
+const storeDelta = (state: SiteState, next: Manifest): void => {
   if (!state.manifest) return;
   state.deltas.push({
     baseVersion: state.manifest.version,
@@ -112,7 +112,7 @@
 };
 
 const acceptManifest = (state: SiteState, manifest: Manifest, digest: string): void => {
-  keepDelta(state, manifest);
+  storeDelta(state, manifest);
   state.manifest = manifest;
   state.digest = digest;
   state.accepted.set(manifest.version, digest);
@@ -129,8 +129,8 @@
 const commandHandlers: Handlers = {
   manifest: (state, { manifest, digest }) => {
     const result = decideManifest(state, manifest, digest);
-    const fresh = result.code === 'accepted' && !state.accepted.has(manifest.version);
-    if (fresh) acceptManifest(state, manifest, digest);
+    const isNew = result.code === 'accepted' && !state.accepted.has(manifest.version);
+    if (isNew) acceptManifest(state, manifest, digest);
     return result;
   },
   members: (state, { members }) => {
--- a/src/core/schedule/announcements.ts
+++ b/src/core/schedule/announcements.ts
@@ -1,10 +1,10 @@
 import type { Announcement } from '../../protocol/generated/beechlift';
-import { forgetPrefix } from './scheduleTables';
+import { removePrefix } from './scheduleTables';
 import { updateIndex } from './workerIndex';
-import { noteNewStart } from './workerReach';
+import { handleRestart } from './workerReach';
 import type { ScheduleStep, ScheduleTables, WorkerEntity } from './scheduleTypes';
 
-const makeWorker = (announcement: Announcement): WorkerEntity => ({
+const makeWorkerEntity = (announcement: Announcement): WorkerEntity => ({
   id: announcement.id,
   incarnation: announcement.incarnation,
   address: announcement.address,
@@ -14,9 +14,9 @@
   slots: announcement.slots,
   canResume: false,
   leaving: false,
-  leftAt: -Infinity,
+  lastLeavingAt: -Infinity,
   announcedAt: 0,
-  foreign: 0,
+  externalRequests: 0,
   running: new Set(),
   ended: [],
   prefixes: new Map(),
@@ -25,12 +25,12 @@
   reach: 'reached',
   suspendedAt: 0,
   pauseMs: 0,
-  canOrder: false,
-  carries: '',
-  ordered: '',
+  acceptsOrders: false,
+  reportedDigest: '',
+  orderedDigest: '',
   orderedAt: -Infinity,
-  turn: 'serving',
-  turnAt: -Infinity,
+  orderPhase: 'serving',
+  orderPhaseAt: -Infinity,
 });
 
 const addWorker = (
@@ -39,7 +39,7 @@
 ): WorkerEntity | undefined => {
   const known = tables.workers.get(announcement.id);
   if (known || tables.workers.size >= tables.config.limits.workersPerPool) return known;
-  const worker = makeWorker(announcement);
+  const worker = makeWorkerEntity(announcement);
   tables.workers.set(worker.id, worker);
   // An owner that took over may have heard of requests there before it heard of the worker.
   tables.running.forEach(({ workerId, requestId }) => {
@@ -52,27 +52,27 @@
  * Dispatch and reading are milliseconds apart; a request this near to a reading may or may not be
  * in it.
  */
-const READING_SLACK_MS = 250;
+const LOAD_READING_TOLERANCE_MS = 250;
 
 /** How long an ended request may still stand in a reported load. */
-const ENDED_KEPT_MS = 10_000;
+const ENDED_RETENTION_MS = 10_000;
 
 /*
  * Guards against taking our own requests for somebody else's load, which is reported with a lag:
  * what held a slot here at the time of the reading, ended since or not, is ours. Only what is
  * beyond that is foreign.
  */
-const countForeign = (
+const countExternalRequests = (
   { tables, now }: ScheduleStep,
   worker: WorkerEntity,
   announcement: Announcement,
 ): number => {
   const readAt = now - announcement.loadAgeMs;
   const running = [...worker.running]
-    .filter((id) => (tables.running.get(id)?.grantedAt ?? 0) <= readAt + READING_SLACK_MS);
+    .filter((id) => (tables.running.get(id)?.grantedAt ?? 0) <= readAt + LOAD_READING_TOLERANCE_MS);
   const ended = worker.ended
-    .filter(({ grantedAt }) => grantedAt <= readAt + READING_SLACK_MS)
-    .filter(({ endedAt }) => endedAt >= readAt - READING_SLACK_MS);
+    .filter(({ grantedAt }) => grantedAt <= readAt + LOAD_READING_TOLERANCE_MS)
+    .filter(({ endedAt }) => endedAt >= readAt - LOAD_READING_TOLERANCE_MS);
   return Math.max(0, announcement.running - running.length - ended.length);
 };
 
@@ -80,7 +80,7 @@
  * Longest way of an announcement, in milliseconds: kept by an entry for a new owner for three
  * seconds, and forwarded in less than one.
  */
-export const ANNOUNCEMENT_FLIGHT_MS = 5_000;
+export const MAX_ANNOUNCEMENT_DELAY_MS = 5_000;
 
 /*
  * Guards against an announcement that was overtaken: a backend server tells its entries in turn,
@@ -92,15 +92,15 @@
   worker: WorkerEntity,
   announcement: Announcement,
 ): boolean => {
-  if (announcement.state === 'leaving') worker.leftAt = now;
-  return now - worker.leftAt < ANNOUNCEMENT_FLIGHT_MS;
+  if (announcement.state === 'leaving') worker.lastLeavingAt = now;
+  return now - worker.lastLeavingAt < MAX_ANNOUNCEMENT_DELAY_MS;
 };
 
 /** A new start of a worker has nothing to do with what the one before said or was ordered. */
-const forgetStart = (step: ScheduleStep, worker: WorkerEntity): void => {
-  worker.leftAt = -Infinity;
-  worker.ordered = '';
-  noteNewStart(step, worker);
+const resetAfterRestart = (step: ScheduleStep, worker: WorkerEntity): void => {
+  worker.lastLeavingAt = -Infinity;
+  worker.orderedDigest = '';
+  handleRestart(step, worker);
 };
 
 /** Takes in what a backend server says of itself. */
@@ -108,7 +108,7 @@
   const { tables, now } = step;
   const worker = addWorker(tables, announcement);
   if (!worker) return;
-  if (worker.incarnation !== announcement.incarnation) forgetStart(step, worker);
+  if (worker.incarnation !== announcement.incarnation) resetAfterRestart(step, worker);
   worker.leaving = isLeaving(step, worker, announcement);
   worker.incarnation = announcement.incarnation;
   worker.address = announcement.address;
@@ -117,11 +117,11 @@
   worker.targets = announcement.models;
   worker.slots = announcement.slots;
   worker.canResume = announcement.abilities.includes('resume');
-  worker.canOrder = announcement.abilities.includes('orders');
-  worker.carries = announcement.orderDigest;
+  worker.acceptsOrders = announcement.abilities.includes('orders');
+  worker.reportedDigest = announcement.orderDigest;
   worker.announcedAt = now;
-  worker.ended = worker.ended.filter(({ endedAt }) => now - endedAt < ENDED_KEPT_MS);
-  worker.foreign = countForeign(step, worker, announcement);
-  announcement.evictedPrefixes.forEach((prefix) => forgetPrefix(tables, worker, prefix));
+  worker.ended = worker.ended.filter(({ endedAt }) => now - endedAt < ENDED_RETENTION_MS);
+  worker.externalRequests = countExternalRequests(step, worker, announcement);
+  announcement.evictedPrefixes.forEach((prefix) => removePrefix(tables, worker, prefix));
   updateIndex(tables.index, worker);
 };
--- a/src/core/schedule/chooseWorker.ts
+++ b/src/core/schedule/chooseWorker.ts
@@ -1,6 +1,6 @@
 import { estimateFirstTokenMs, estimateTotalMs } from './speedModel';
 import { hasFreeSlot, listCandidates } from './workerIndex';
-import { canTry } from './workerReach';
+import { canAttempt } from './workerReach';
 import type {
   PolicyName, ScheduleTables, WaitingEntity, WorkerEntity,
 } from './scheduleTypes';
@@ -9,7 +9,7 @@
 export interface Choice {
   readonly worker: WorkerEntity;
   /** Prompt tokens that are probably not in the worker's cache. */
-  readonly freshTokens: number;
+  readonly uncachedTokens: number;
 }
 
 const MAX_PREFIX_CANDIDATES = 8;
@@ -31,11 +31,11 @@
 ): Choice => {
   const prompt = waiting.ask.promptTokens;
   const cached = tables.policy.affinity ? findCachedTokens(worker, waiting.ask.prefixes) : 0;
-  return { worker, freshTokens: Math.max(0, prompt - cached) };
+  return { worker, uncachedTokens: Math.max(0, prompt - cached) };
 };
 
 const scoreChoice = (tables: ScheduleTables, waiting: WaitingEntity, choice: Choice): number => {
-  const { worker, freshTokens } = choice;
+  const { worker, uncachedTokens: uncachedTokens } = choice;
   tables.comparisons += 1;
   const batch = worker.running.size + 1;
   const hardware = tables.policy.speeds ? worker.hardware : '';
@@ -43,7 +43,7 @@
     tables.speeds,
     hardware,
     batch,
-    freshTokens,
+    uncachedTokens,
     waiting.outputTokens,
   );
   return expected * (tables.policy.stragglers ? worker.slowness : 1);
@@ -64,40 +64,40 @@
  * The worker that is expected to finish the request first, among kinds of free workers and prefix
  * holders.
  */
-const chooseExpectedFirst: Chooser = (tables, waiting) => {
+const chooseExpectedFastest: Chooser = (tables, waiting) => {
   const { target } = waiting.ask;
   const holders = tables.policy.affinity ? listPrefixHolders(tables, waiting) : [];
   const free = holders.filter((id) => hasFreeSlot(tables.index, id));
   const ids = [...new Set([...listCandidates(tables.index, target), ...free])];
   const [best] = ids
     .flatMap((id) => tables.workers.get(id) ?? [])
-    .filter((worker) => servesTarget(worker, target) && canTry(tables, waiting, worker))
+    .filter((worker) => servesTarget(worker, target) && canAttempt(tables, waiting, worker))
     .map((worker) => makeChoice(tables, waiting, worker))
     .map((choice) => ({ choice, score: scoreChoice(tables, waiting, choice) }))
     .sort((a, b) => a.score - b.score);
   return best?.choice;
 };
 
-const listServing = (tables: ScheduleTables, target: string): WorkerEntity[] => (
+const listServingWorkers = (tables: ScheduleTables, target: string): WorkerEntity[] => (
   [...tables.workers.values()].filter((worker) => !worker.leaving && servesTarget(worker, target))
 );
 
-const chooseNextInTurn: Chooser = (tables, waiting) => {
-  const serving = listServing(tables, waiting.ask.target);
-  tables.turn += 1;
-  const worker = serving[tables.turn % Math.max(1, serving.length)];
+const chooseRoundRobin: Chooser = (tables, waiting) => {
+  const serving = listServingWorkers(tables, waiting.ask.target);
+  tables.roundRobinCounter += 1;
+  const worker = serving[tables.roundRobinCounter % Math.max(1, serving.length)];
   return worker && makeChoice(tables, waiting, worker);
 };
 
 const chooseLeastOutstanding: Chooser = (tables, waiting) => {
-  const [worker] = listServing(tables, waiting.ask.target)
+  const [worker] = listServingWorkers(tables, waiting.ask.target)
     .sort((a, b) => a.running.size - b.running.size);
   return worker && makeChoice(tables, waiting, worker);
 };
 
 const choosers: Record<PolicyName, Chooser> = {
-  owner: chooseExpectedFirst,
-  roundRobin: chooseNextInTurn,
+  owner: chooseExpectedFastest,
+  roundRobin: chooseRoundRobin,
   leastOutstanding: chooseLeastOutstanding,
 };
 
@@ -114,5 +114,5 @@
 
 /** Expected time to the first token on a choice, in milliseconds. */
 export const estimateChoiceFirstTokenMs = (tables: ScheduleTables, choice: Choice): number => (
-  estimateFirstTokenMs(tables.speeds, choice.worker.hardware, choice.freshTokens)
+  estimateFirstTokenMs(tables.speeds, choice.worker.hardware, choice.uncachedTokens)
 );
--- a/src/core/schedule/fairQueue.ts
+++ b/src/core/schedule/fairQueue.ts
@@ -1,5 +1,5 @@
 import type { ScheduleTables, WaitingEntity } from './scheduleTypes';
-import { findAccountUse } from './accountUse';
+import { findAccountUsage } from './accountUsage';
 
 const findQueues = (tables: ScheduleTables, rank: number): Map<string, string[]> => {
   const known = tables.queues.get(rank);
@@ -9,9 +9,9 @@
   return queues;
 };
 
-const readLeastVirtualTokens = (tables: ScheduleTables, queues: Map<string, string[]>): number => (
+const findLeastVirtualTokens = (tables: ScheduleTables, queues: Map<string, string[]>): number => (
   [...queues.keys()].reduce(
-    (least, account) => Math.min(least, findAccountUse(tables, account).virtualTokens),
+    (least, account) => Math.min(least, findAccountUsage(tables, account).virtualTokens),
     Infinity,
   )
 );
@@ -20,14 +20,14 @@
  * Guards against an account that was idle and then claims all the service it did not use: it joins
  * at the level of the account that has had the least among those that wait.
  */
-const levelNewcomer = (
+const raiseVirtualTokens = (
   tables: ScheduleTables,
   queues: Map<string, string[]>,
   account: string,
 ): void => {
-  const least = readLeastVirtualTokens(tables, queues);
-  const use = findAccountUse(tables, account);
-  if (least !== Infinity) use.virtualTokens = Math.max(use.virtualTokens, least);
+  const least = findLeastVirtualTokens(tables, queues);
+  const usage = findAccountUsage(tables, account);
+  if (least !== Infinity) usage.virtualTokens = Math.max(usage.virtualTokens, least);
 };
 
 /** Puts a request at the end of its account's queue. */
@@ -40,7 +40,7 @@
     queue.push(requestId);
     return;
   }
-  levelNewcomer(tables, queues, account);
+  raiseVirtualTokens(tables, queues, account);
   queues.set(account, [requestId]);
 };
 
@@ -66,10 +66,10 @@
  * @example
  * const [next] = listHeads(tables, 0);
  */
-export const listHeads = (tables: ScheduleTables, rank: number): WaitingEntity[] => (
+export const listQueueHeads = (tables: ScheduleTables, rank: number): WaitingEntity[] => (
   [...(tables.queues.get(rank) ?? [])]
     .map(([account, [head]]) => ({
-      served: findAccountUse(tables, account).virtualTokens,
+      served: findAccountUsage(tables, account).virtualTokens,
       waiting: head === undefined ? undefined : tables.waiting.get(head),
     }))
     .sort((a, b) => a.served - b.served)
@@ -84,8 +84,8 @@
     .sort((a, b) => a - b)
 );
 
-const sumLengths = (queues: Iterable<readonly string[]>, most: number): number => (
-  [...queues].reduce((sum, queue) => sum + Math.min(queue.length, most), 0)
+const sumLengths = (queues: Iterable<readonly string[]>, limit: number): number => (
+  [...queues].reduce((sum, queue) => sum + Math.min(queue.length, limit), 0)
 );
 
 /**
@@ -96,7 +96,7 @@
  * @example
  * countInRank(tables, 1, 'kiosks');
  */
-export const countInRank = (tables: ScheduleTables, rank: number, account: string): number => {
+export const countAheadInRank = (tables: ScheduleTables, rank: number, account: string): number => {
   const queues = tables.queues.get(rank);
   const own = queues?.get(account)?.length ?? 0;
   return sumLengths(queues?.values() ?? [], own + 1);
@@ -113,5 +113,5 @@
   const higher = [...tables.queues]
     .filter(([other]) => other < rank)
     .reduce((sum, [, queues]) => sum + sumLengths(queues.values(), Infinity), 0);
-  return higher + countInRank(tables, rank, account);
+  return higher + countAheadInRank(tables, rank, account);
 };
--- a/src/core/schedule/grantRate.ts
+++ b/src/core/schedule/grantRate.ts
@@ -7,13 +7,13 @@
 const readRate = (tables: ScheduleTables, rank: number, now: number): number => {
   const rate = tables.grantRates.get(rank);
   if (!rate) return 0;
-  return rate.perSecond * Math.exp((rate.at - now) / (WINDOW_SECONDS * MS_PER_SECOND));
+  return rate.perSecond * Math.exp((rate.updatedAt - now) / (WINDOW_SECONDS * MS_PER_SECOND));
 };
 
 /** Counts one grant of a rank. */
-export const noteGrant = (tables: ScheduleTables, rank: number, now: number): void => {
+export const recordGrant = (tables: ScheduleTables, rank: number, now: number): void => {
   const perSecond = readRate(tables, rank, now) + 1 / WINDOW_SECONDS;
-  tables.grantRates.set(rank, { perSecond, at: now });
+  tables.grantRates.set(rank, { perSecond, updatedAt: now });
 };
 
 const findHeadWaitMs = (tables: ScheduleTables, rank: number, now: number): number => {
@@ -29,7 +29,7 @@
  * @example
  * const waitMs = (ahead + 1) * computeGrantMs(tables, 2, now);
  */
-export const computeGrantMs = (tables: ScheduleTables, rank: number, now: number): number => {
+export const estimateGrantIntervalMs = (tables: ScheduleTables, rank: number, now: number): number => {
   const measured = MS_PER_SECOND / Math.max(1e-9, readRate(tables, rank, now));
   const waited = findHeadWaitMs(tables, rank, now) + tables.meanServiceMs;
   return Math.min(measured, waited);
--- a/src/core/schedule/grantSystem.ts
+++ b/src/core/schedule/grantSystem.ts
@@ -1,13 +1,13 @@
-import { chargeAccount } from './accountUse';
+import { chargeAccount } from './accountUsage';
 import { chooseWorker, estimateChoiceFirstTokenMs } from './chooseWorker';
-import { listHeads, listWaitingRanks, removeWaiting } from './fairQueue';
-import { noteGrant } from './grantRate';
-import { addRunning, notePrefixes } from './scheduleTables';
+import { listQueueHeads, listWaitingRanks, removeWaiting } from './fairQueue';
+import { recordGrant } from './grantRate';
+import { addRunning, recordPrefixes } from './scheduleTables';
 import type { Choice } from './chooseWorker';
 import type { ScheduleStep, ScheduleTables, WaitingEntity } from './scheduleTypes';
 
 /** Milliseconds within which an entry must begin to dispatch what it was granted. */
-export const GRANT_MS = 2_000;
+export const GRANT_TIMEOUT_MS = 2_000;
 
 const sumHeadroom = (
   tables: ScheduleTables,
@@ -15,11 +15,11 @@
 ): number => Object.values(tables.config.tiers)
   .filter((tier) => tier.rank < rank)
   .reduce((sum, tier) => {
-    const bound = Math.floor(tier.headroom * tables.index.slots);
-    const runs = tables.runningByRank.get(tier.rank) ?? 0;
+    const maxHeadroom = Math.floor(tier.headroom * tables.index.slots);
+    const running = tables.runningByRank.get(tier.rank) ?? 0;
     // Learnt need: as many as ran at once of late and one more, within the manifest's bound.
-    const need = Math.min(bound, Math.ceil(tables.peaks.get(tier.rank) ?? 0) + 1);
-    return sum + Math.max(0, need - runs);
+    const required = Math.min(maxHeadroom, Math.ceil(tables.peakConcurrency.get(tier.rank) ?? 0) + 1);
+    return sum + Math.max(0, required - running);
   }, 0);
 
 /**
@@ -32,7 +32,7 @@
   tables.policy.headroom ? sumHeadroom(tables, rank) : 0
 );
 
-const hasRoom = (tables: ScheduleTables, rank: number): boolean => {
+const hasFreeCapacity = (tables: ScheduleTables, rank: number): boolean => {
   if (tables.policy.name !== 'owner') return true;
   const free = tables.index.slots - tables.index.used;
   // One slot stays usable for every tier where nothing else runs: headroom never starves a pool.
@@ -45,7 +45,7 @@
   const { worker } = choice;
   removeWaiting(tables, ask.requestId);
   chargeAccount(tables, ask.account, waiting.cost);
-  noteGrant(tables, waiting.rank, now);
+  recordGrant(tables, waiting.rank, now);
   addRunning(tables, {
     requestId: ask.requestId,
     entryId: ask.entryId,
@@ -63,7 +63,7 @@
     started: false,
     late: false,
   });
-  notePrefixes(tables, worker, ask.prefixes, now);
+  recordPrefixes(tables, worker, ask.prefixes, now);
   step.effects.push({
     kind: 'grant',
     requestId: ask.requestId,
@@ -76,22 +76,22 @@
 
 const grantOne = (step: ScheduleStep, rank: number): boolean => {
   const { tables } = step;
-  if (!hasRoom(tables, rank)) return false;
-  const refusedTargets = new Set<string>();
-  return listHeads(tables, rank).some((waiting) => {
+  if (!hasFreeCapacity(tables, rank)) return false;
+  const unavailableTargets = new Set<string>();
+  return listQueueHeads(tables, rank).some((waiting) => {
     // The free workers are the same for all requests of a target that missed none: one of them
     // that found none speaks for all.
-    if (refusedTargets.has(waiting.ask.target)) return false;
+    if (unavailableTargets.has(waiting.ask.target)) return false;
     const choice = chooseWorker(tables, waiting);
     if (choice) grant(step, waiting, choice);
-    else if (!tables.missed.has(waiting.ask.requestId)) refusedTargets.add(waiting.ask.target);
+    else if (!tables.failedWorkersByRequest.has(waiting.ask.requestId)) unavailableTargets.add(waiting.ask.target);
     return choice !== undefined;
   });
 };
 
 const grantRank = (step: ScheduleStep, rank: number): void => {
-  const most = step.tables.waiting.size;
-  Array.from({ length: most }).some(() => !grantOne(step, rank));
+  const maxGrants = step.tables.waiting.size;
+  Array.from({ length: maxGrants }).some(() => !grantOne(step, rank));
 };
 
 /**
--- a/src/core/schedule/lengthModel.ts
+++ b/src/core/schedule/lengthModel.ts
@@ -49,6 +49,6 @@
     lengths.set(name, Math.max(1, tokens));
     return;
   }
-  const rise = tokens > old ? QUANTILE : QUANTILE - 1;
-  lengths.set(name, Math.max(1, old * (1 + STEP * rise)));
+  const direction = tokens > old ? QUANTILE : QUANTILE - 1;
+  lengths.set(name, Math.max(1, old * (1 + STEP * direction)));
 };
--- a/src/core/schedule/orderBook.ts
+++ b/src/core/schedule/orderState.ts
@@ -1,15 +1,15 @@
 import { computeSha256, formatCanonicalJson } from '../../utils/canonicalJson';
 import type {
-  DesiredModel, DesiredState, OrderBook, ScheduleConfig, ScheduleTables,
+  DesiredModel, DesiredState, OrderState, ScheduleConfig, ScheduleTables,
 } from './scheduleTypes';
 
 /** Longest time from the decision to send an order until it can no longer arrive, milliseconds. */
-export const ORDER_FLIGHT_MS = 2_000;
+export const MAX_ORDER_DELAY_MS = 2_000;
 
 const MINUTE_MS = 60_000;
 const DIGEST_LENGTH = 32;
 
-const buildModel = (config: ScheduleConfig, name: string): DesiredModel => ({
+const buildDesiredModel = (config: ScheduleConfig, name: string): DesiredModel => ({
   name,
   modelVersion: config.models[name]?.modelVersion ?? '',
   adapters: [...config.models[name]?.adapters ?? []].sort(),
@@ -21,10 +21,10 @@
  * @example
  * const desired = buildDesired('fast', manifest);
  */
-export const buildDesired = (name: string, config: ScheduleConfig): DesiredState | undefined => {
+export const buildDesiredState = (name: string, config: ScheduleConfig): DesiredState | undefined => {
   const pool = config.pools[name];
   if (!pool || pool.kind !== 'model') return undefined;
-  const models = [...pool.models].sort().map((model) => buildModel(config, model));
+  const models = [...pool.models].sort().map((model) => buildDesiredModel(config, model));
   const content = { role: pool.role, models };
   const digest = computeSha256(formatCanonicalJson(content)).slice(0, DIGEST_LENGTH);
   return { ...content, digest };
@@ -34,7 +34,7 @@
  * Time between two loads of one pool. The weight store's limit holds for all pools together; each
  * has an equal share, so that owners keep it without asking one another.
  */
-export const computeLoadMs = ({ config }: Pick<ScheduleTables, 'config'>): number => {
+export const computeLoadIntervalMs = ({ config }: Pick<ScheduleTables, 'config'>): number => {
   const pools = Object.values(config.pools).filter(({ kind }) => kind === 'model').length;
   return (MINUTE_MS * Math.max(1, pools)) / config.limits.loadsPerMinute;
 };
@@ -45,21 +45,21 @@
  * has ended and what that one sent can no longer arrive. The load that it may have started counts
  * against the weight store, so the first one here waits a whole turn.
  */
-export const makeOrderBook = (
+export const makeOrderState = (
   pool: string,
   config: ScheduleConfig,
   settledAt: number,
-): OrderBook => {
+): OrderState => {
   const isFenced = config.pools[pool]?.checksFencing ?? false;
-  const from = settledAt + ORDER_FLIGHT_MS;
+  const allowedAt = settledAt + MAX_ORDER_DELAY_MS;
   return {
-    desired: buildDesired(pool, config),
-    from: isFenced ? -Infinity : from,
-    nextLoadAt: settledAt + computeLoadMs({ config }),
+    desired: buildDesiredState(pool, config),
+    allowedAt: isFenced ? -Infinity : allowedAt,
+    nextLoadAt: settledAt + computeLoadIntervalMs({ config }),
   };
 };
 
 /** Brings what is desired up to the manifest in force. */
-export const updateDesired = ({ orders, pool, config }: ScheduleTables): void => {
-  orders.desired = buildDesired(pool, config);
+export const updateDesiredState = ({ orders, pool, config }: ScheduleTables): void => {
+  orders.desired = buildDesiredState(pool, config);
 };
--- a/src/core/schedule/orderSystem.ts
+++ b/src/core/schedule/orderSystem.ts
@@ -1,24 +1,24 @@
-import { computeLoadMs, ORDER_FLIGHT_MS } from './orderBook';
+import { computeLoadIntervalMs, MAX_ORDER_DELAY_MS } from './orderState';
 import { updateIndex } from './workerIndex';
 import type {
-  DesiredState, OrderResult, ScheduleStep, ScheduleTables, WorkerEntity, WorkerTurn,
+  DesiredState, OrderResult, ScheduleStep, ScheduleTables, WorkerEntity, OrderPhase,
 } from './scheduleTypes';
 
 /** An order that was not carried out is sent again, milliseconds. */
-const REPEAT_MS = 5_000;
+const ORDER_RETRY_MS = 5_000;
 /** A worker that does not get idle goes back to work, milliseconds. */
-const DRAIN_MS = 120_000;
+const DRAIN_TIMEOUT_MS = 120_000;
 /** Share of a pool that may be out of work for orders at once; one worker at least. */
-const TURNING_SHARE = 0.1;
+const MAX_CHANGING_SHARE = 0.1;
 
-const setTurn = (step: ScheduleStep, worker: WorkerEntity, turn: WorkerTurn): void => {
-  worker.turn = turn;
-  worker.turnAt = step.now;
+const setOrderPhase = (step: ScheduleStep, worker: WorkerEntity, phase: OrderPhase): void => {
+  worker.orderPhase = phase;
+  worker.orderPhaseAt = step.now;
   updateIndex(step.tables.index, worker);
 };
 
 const isReady = (worker: WorkerEntity): boolean => (
-  !worker.leaving && worker.reach === 'reached' && worker.turn === 'serving'
+  !worker.leaving && worker.reach === 'reached' && worker.orderPhase === 'serving'
 );
 
 /*
@@ -37,73 +37,73 @@
 };
 
 const sendOrder = (step: ScheduleStep, worker: WorkerEntity, desired: DesiredState): void => {
-  worker.ordered = desired.digest;
+  worker.orderedDigest = desired.digest;
   worker.orderedAt = step.now;
   step.effects.push({
     kind: 'order', workerId: worker.id, workerAddress: worker.address, desired,
   });
 };
 
-const takeLoad = ({ tables, now }: ScheduleStep): boolean => {
+const tryReserveLoad = ({ tables, now }: ScheduleStep): boolean => {
   const { orders } = tables;
   if (now < orders.nextLoadAt) return false;
-  orders.nextLoadAt = now + computeLoadMs(tables);
+  orders.nextLoadAt = now + computeLoadIntervalMs(tables);
   return true;
 };
 
 const startLoad = (step: ScheduleStep, worker: WorkerEntity, desired: DesiredState): void => {
-  setTurn(step, worker, 'loading');
+  setOrderPhase(step, worker, 'loading');
   sendOrder(step, worker, desired);
 };
 
-type TurnStep = (step: ScheduleStep, worker: WorkerEntity, desired: DesiredState) => void;
+type OrderPhaseHandler = (step: ScheduleStep, worker: WorkerEntity, desired: DesiredState) => void;
 
-const isIdle = (worker: WorkerEntity): boolean => worker.running.size === 0 && worker.foreign === 0;
+const isIdle = (worker: WorkerEntity): boolean => worker.running.size === 0 && worker.externalRequests === 0;
 
 /**
  * Waits for the answers that run there, ours and others', so that an order cuts none of them. One
  * that the others' failures made the last of its models goes back to work.
  */
-const orderWhenIdle: TurnStep = (step, worker, desired) => {
+const orderWhenIdle: OrderPhaseHandler = (step, worker, desired) => {
   const isNeeded = isLastReady(step.tables, worker, desired);
-  const isTooLong = !isIdle(worker) && step.now - worker.turnAt >= DRAIN_MS;
-  if (isNeeded || isTooLong) setTurn(step, worker, 'serving');
-  else if (isIdle(worker) && takeLoad(step)) startLoad(step, worker, desired);
+  const isTooLong = !isIdle(worker) && step.now - worker.orderPhaseAt >= DRAIN_TIMEOUT_MS;
+  if (isNeeded || isTooLong) setOrderPhase(step, worker, 'serving');
+  else if (isIdle(worker) && tryReserveLoad(step)) startLoad(step, worker, desired);
 };
 
 /** An order that was lost is repeated; it tells the whole state, so that it may arrive twice. */
-const repeatOrder: TurnStep = (step, worker, desired) => {
-  if (step.now - worker.orderedAt < REPEAT_MS) return;
-  if (worker.ordered === desired.digest || takeLoad(step)) sendOrder(step, worker, desired);
+const retryOrder: OrderPhaseHandler = (step, worker, desired) => {
+  if (step.now - worker.orderedAt < ORDER_RETRY_MS) return;
+  if (worker.orderedDigest === desired.digest || tryReserveLoad(step)) sendOrder(step, worker, desired);
 };
 
-const turnSteps: Readonly<Record<WorkerTurn, TurnStep>> = {
+const orderPhaseHandlers: Readonly<Record<OrderPhase, OrderPhaseHandler>> = {
   serving: () => undefined,
   draining: orderWhenIdle,
-  loading: repeatOrder,
+  loading: retryOrder,
 };
 
-const advanceWorker = (
+const advanceOrderPhase = (
   step: ScheduleStep,
   worker: WorkerEntity,
   desired: DesiredState,
 ): void => {
-  const isDone = worker.turn !== 'serving' && worker.carries === desired.digest;
-  if (isDone) setTurn(step, worker, 'serving');
-  else turnSteps[worker.turn](step, worker, desired);
+  const isDone = worker.orderPhase !== 'serving' && worker.reportedDigest === desired.digest;
+  if (isDone) setOrderPhase(step, worker, 'serving');
+  else orderPhaseHandlers[worker.orderPhase](step, worker, desired);
 };
 
-const startNext = (step: ScheduleStep, desired: DesiredState): void => {
+const startNextDrain = (step: ScheduleStep, desired: DesiredState): void => {
   const { tables, now } = step;
   if (now < tables.orders.nextLoadAt) return;
   const workers = [...tables.workers.values()];
-  const turning = workers.filter(({ turn }) => turn !== 'serving').length;
-  if (turning >= Math.max(1, Math.floor(workers.length * TURNING_SHARE))) return;
+  const changing = workers.filter(({ orderPhase: orderPhase }) => orderPhase !== 'serving').length;
+  if (changing >= Math.max(1, Math.floor(workers.length * MAX_CHANGING_SHARE))) return;
   const next = workers
-    .filter((worker) => worker.canOrder && isReady(worker) && worker.carries !== desired.digest)
-    .sort((a, b) => a.turnAt - b.turnAt)
+    .filter((worker) => worker.acceptsOrders && isReady(worker) && worker.reportedDigest !== desired.digest)
+    .sort((a, b) => a.orderPhaseAt - b.orderPhaseAt)
     .find((worker) => !isLastReady(tables, worker, desired));
-  if (next) setTurn(step, next, 'draining');
+  if (next) setOrderPhase(step, next, 'draining');
 };
 
 /**
@@ -116,9 +116,9 @@
 export const runOrderSystem = (step: ScheduleStep): void => {
   const { orders, workers, policy } = step.tables;
   const { desired } = orders;
-  if (!desired || policy.name !== 'owner' || step.now < orders.from) return;
-  workers.forEach((worker) => advanceWorker(step, worker, desired));
-  startNext(step, desired);
+  if (!desired || policy.name !== 'owner' || step.now < orders.allowedAt) return;
+  workers.forEach((worker) => advanceOrderPhase(step, worker, desired));
+  startNextDrain(step, desired);
 };
 
 /*
@@ -126,10 +126,10 @@
  * higher fencing number says so, and nothing more is ordered until a new view names this owner.
  */
 export const handleOrderAnswer = ({ tables }: ScheduleStep, result: OrderResult): void => {
-  if (result === 'outbid') tables.orders.from = Infinity;
+  if (result === 'outbid') tables.orders.allowedAt = Infinity;
 };
 
 /** A new view that still names this owner lets it order again. */
-export const noteNewView = ({ tables, now }: ScheduleStep): void => {
-  if (tables.orders.from === Infinity) tables.orders.from = now + ORDER_FLIGHT_MS;
+export const handleNewView = ({ tables, now }: ScheduleStep): void => {
+  if (tables.orders.allowedAt === Infinity) tables.orders.allowedAt = now + MAX_ORDER_DELAY_MS;
 };
--- a/src/core/schedule/poolSchedule.ts
+++ b/src/core/schedule/poolSchedule.ts
@@ -2,21 +2,21 @@
   AskRequest, RegisterRequest, ReportRequest, RunningRequest,
 } from '../../protocol/generated/beechlift';
 import {
-  findLimitReason, releaseAccountUse, takeAccountUse,
-} from './accountUse';
+  findLimitReason, releaseAccountUsage, addAccountUsage,
+} from './accountUsage';
 import { handleAnnouncement } from './announcements';
 import { addWaiting, removeWaiting } from './fairQueue';
 import { runGrantSystem } from './grantSystem';
 import { estimateOutputTokens, learnOutputTokens } from './lengthModel';
-import { updateDesired } from './orderBook';
-import { handleOrderAnswer, noteNewView, runOrderSystem } from './orderSystem';
+import { updateDesiredState } from './orderState';
+import { handleOrderAnswer, handleNewView, runOrderSystem } from './orderSystem';
 import { addRunning, findRank, removeRunning } from './scheduleTables';
 import { estimateTotalMs, learnSpeed } from './speedModel';
-import { computeRetryMs, isHopeless, runShedSystem } from './shedSystem';
+import { computeRetryAfterMs, isDeadlineUnreachable, runShedSystem } from './shedSystem';
 import {
-  learnSlowness, runExpirySystem, runPeakSystem, runStragglerSystem,
+  learnSlowness, runExpirySystem, runPeakDecaySystem, runStragglerSystem,
 } from './workerSystems';
-import { noteReached, noteUnreached, runReachSystem } from './workerReach';
+import { handleReached, handleUnreachable, runReachSystem } from './workerReach';
 import type {
   RunningEntity, ScheduleEffect, ScheduleEvent, ScheduleStep, ScheduleTables, WaitingEntity,
 } from './scheduleTypes';
@@ -31,7 +31,7 @@
     rank: findRank(tables, ask.tier),
     askedAt: now,
     deadlineAt: now + ask.deadlineMs,
-    firstTokenAt: now + Math.min(
+    firstTokenDeadlineAt: now + Math.min(
       ask.deadlineMs,
       tables.config.tiers[ask.tier]?.firstTokenMs ?? ask.deadlineMs,
     ),
@@ -40,7 +40,7 @@
   };
 };
 
-const refuseNewcomer = (
+const refuseRequest = (
   step: ScheduleStep,
   waiting: WaitingEntity,
   code: 'accountLimited' | 'noSlotInTime',
@@ -51,14 +51,14 @@
     requestId: waiting.ask.requestId,
     code,
     message,
-    retryAfterMs: computeRetryMs(step.tables, waiting, step.now),
+    retryAfterMs: computeRetryAfterMs(step.tables, waiting, step.now),
   });
 };
 
 /** @param unused tokens that were charged to the account and are given back */
-const freeRunning = ({ tables, now }: ScheduleStep, running: RunningEntity, unused = 0): void => {
+const releaseRunning = ({ tables, now }: ScheduleStep, running: RunningEntity, unused = 0): void => {
   removeRunning(tables, running.requestId, now);
-  releaseAccountUse(tables, running.account, unused);
+  releaseAccountUsage(tables, running.account, unused);
 };
 
 /** Number of the newest question for a request; undefined for one that is not known here. */
@@ -75,32 +75,32 @@
  * entry asks only for what holds no slot there, so that slot is free. One that still waits keeps
  * its place.
  */
-const freeUnheardGrant = (step: ScheduleStep, { requestId }: AskRequest): void => {
+const releaseLostGrant = (step: ScheduleStep, { requestId }: AskRequest): void => {
   const running = step.tables.running.get(requestId);
-  if (running) freeRunning(step, running, running.cost);
+  if (running) releaseRunning(step, running, running.cost);
 };
 
-const handleAsk = (step: ScheduleStep, ask: AskRequest): void => {
+const handleSlotRequest = (step: ScheduleStep, ask: AskRequest): void => {
   const { tables, now } = step;
-  const known = findAskNumber(tables, ask.requestId);
-  if (known !== undefined && known >= ask.askNumber) return;
-  const placed = tables.waiting.get(ask.requestId);
-  if (placed) {
-    placed.ask = ask;
+  const knownAskNumber = findAskNumber(tables, ask.requestId);
+  if (knownAskNumber !== undefined && knownAskNumber >= ask.askNumber) return;
+  const queued = tables.waiting.get(ask.requestId);
+  if (queued) {
+    queued.ask = ask;
     return;
   }
-  freeUnheardGrant(step, ask);
+  releaseLostGrant(step, ask);
   const waiting = makeWaiting(step, ask);
-  const limit = findLimitReason(tables, ask.account, waiting.cost, now);
-  if (limit !== undefined) {
-    refuseNewcomer(step, waiting, 'accountLimited', limit);
+  const reason = findLimitReason(tables, ask.account, waiting.cost, now);
+  if (reason !== undefined) {
+    refuseRequest(step, waiting, 'accountLimited', reason);
     return;
   }
-  if (isHopeless(tables, waiting, now)) {
-    refuseNewcomer(step, waiting, 'noSlotInTime', `the backlog of pool "${tables.pool}" leaves no slot before the deadline of tier "${ask.tier}"`);
+  if (isDeadlineUnreachable(tables, waiting, now)) {
+    refuseRequest(step, waiting, 'noSlotInTime', `the backlog of pool "${tables.pool}" leaves no slot before the deadline of tier "${ask.tier}"`);
     return;
   }
-  takeAccountUse(tables, ask.account, waiting.cost);
+  addAccountUsage(tables, ask.account, waiting.cost);
   addWaiting(tables, waiting);
 };
 
@@ -138,20 +138,20 @@
  * Tables that are looked up with a word from the wire are maps: a word such as `__proto__` finds
  * nothing in them.
  */
-const reachHandlers: ReadonlyMap<string, typeof noteReached> = new Map([
-  ['unreachable', noteUnreached],
-  ['complete', noteReached],
-  ['failed', noteReached],
+const reachHandlers: ReadonlyMap<string, typeof handleReached> = new Map([
+  ['unreachable', handleUnreachable],
+  ['complete', handleReached],
+  ['failed', handleReached],
 ]);
 
 const endRequest = (step: ScheduleStep, report: ReportRequest): void => {
   const { tables, now } = step;
   const waiting = removeWaiting(tables, report.requestId);
-  if (waiting) releaseAccountUse(tables, waiting.ask.account, waiting.cost);
+  if (waiting) releaseAccountUsage(tables, waiting.ask.account, waiting.cost);
   const running = removeRunning(tables, report.requestId, now);
   if (!running) return;
   const used = running.promptTokens + report.outputTokens;
-  releaseAccountUse(
+  releaseAccountUsage(
     tables,
     running.account,
     report.phase === 'dropped' ? running.cost : running.cost - used,
@@ -164,7 +164,7 @@
   const running = step.tables.running.get(report.requestId);
   if (!running) return;
   running.started = true;
-  noteReached(step, running);
+  handleReached(step, running);
 };
 
 type PhaseHandler = (step: ScheduleStep, report: ReportRequest) => void;
@@ -180,15 +180,15 @@
  * connection: it would end a slot that was granted since.
  */
 const handleReport = (step: ScheduleStep, report: ReportRequest): void => {
-  const known = findAskNumber(step.tables, report.requestId);
-  if (known !== undefined && known > report.askNumber) return;
+  const knownAskNumber = findAskNumber(step.tables, report.requestId);
+  if (knownAskNumber !== undefined && knownAskNumber > report.askNumber) return;
   phaseHandlers.get(report.phase)?.(step, report);
 };
 
 const registerOne = (step: ScheduleStep, entryId: string, item: RunningRequest): void => {
   const { tables, now } = step;
   if (tables.running.has(item.requestId)) return;
-  takeAccountUse(tables, item.account, item.promptTokens);
+  addAccountUsage(tables, item.account, item.promptTokens);
   addRunning(tables, {
     requestId: item.requestId,
     entryId,
@@ -213,46 +213,46 @@
  * tells all that it runs every few seconds, and what it no longer names is over. A grant that is
  * younger than its way there and back is left alone.
  */
-const freeForgotten = (step: ScheduleStep, register: RegisterRequest): void => {
-  const named = new Set(register.running.map(({ requestId }) => requestId));
+const releaseUnreported = (step: ScheduleStep, register: RegisterRequest): void => {
+  const reported = new Set(register.running.map(({ requestId }) => requestId));
   [...step.tables.running.values()]
-    .filter((running) => running.entryId === register.entryId && !named.has(running.requestId))
+    .filter((running) => running.entryId === register.entryId && !reported.has(running.requestId))
     .filter((running) => step.now - running.grantedAt > REGISTER_GRACE_MS)
-    .forEach((running) => freeRunning(step, running));
+    .forEach((running) => releaseRunning(step, running));
 };
 
 const handleRegister = (step: ScheduleStep, register: RegisterRequest): void => {
   register.running.forEach((item) => registerOne(step, register.entryId, item));
-  freeForgotten(step, register);
-  step.tables.unregistered.delete(register.entryId);
+  releaseUnreported(step, register);
+  step.tables.unregisteredEntries.delete(register.entryId);
 };
 
 const dropWaiting = ({ tables }: ScheduleStep, waiting: WaitingEntity): void => {
   removeWaiting(tables, waiting.ask.requestId);
-  releaseAccountUse(tables, waiting.ask.account, waiting.cost);
+  releaseAccountUsage(tables, waiting.ask.account, waiting.cost);
 };
 
 /** Requests of an entry that is gone hold no slot, and no entry that is gone is waited for. */
 const handleMembersChanged = (step: ScheduleStep, entryIds: readonly string[]): void => {
   const { tables } = step;
-  const present = new Set(entryIds);
-  noteNewView(step);
+  const entries = new Set(entryIds);
+  handleNewView(step);
   [...tables.running.values()]
-    .filter(({ entryId }) => !present.has(entryId))
-    .forEach((running) => freeRunning(step, running));
+    .filter(({ entryId }) => !entries.has(entryId))
+    .forEach((running) => releaseRunning(step, running));
   [...tables.waiting.values()]
-    .filter(({ ask }) => !present.has(ask.entryId))
+    .filter(({ ask }) => !entries.has(ask.entryId))
     .forEach((waiting) => dropWaiting(step, waiting));
-  [...tables.unregistered]
-    .filter((id) => !present.has(id))
-    .forEach((id) => tables.unregistered.delete(id));
+  [...tables.unregisteredEntries]
+    .filter((id) => !entries.has(id))
+    .forEach((id) => tables.unregisteredEntries.delete(id));
 };
 
 const runTickSystems = (step: ScheduleStep): void => {
   runExpirySystem(step);
   runReachSystem(step);
   runStragglerSystem(step);
-  runPeakSystem(step);
+  runPeakDecaySystem(step);
   runOrderSystem(step);
   runShedSystem(step);
 };
@@ -262,13 +262,13 @@
 ) => void };
 
 const eventHandlers: Handlers = {
-  ask: (step, event) => handleAsk(step, event.ask),
+  ask: (step, event) => handleSlotRequest(step, event.ask),
   report: (step, event) => handleReport(step, event.report),
   register: (step, event) => handleRegister(step, event.register),
   announce: (step, event) => handleAnnouncement(step, event.announcement),
   configure: (step, event) => {
     step.tables.config = event.config;
-    updateDesired(step.tables);
+    updateDesiredState(step.tables);
   },
   membersChanged: (step, event) => handleMembersChanged(step, event.entryIds),
   orderAnswered: (step, event) => handleOrderAnswer(step, event.result),
--- a/src/core/schedule/scheduleTables.ts
+++ b/src/core/schedule/scheduleTables.ts
@@ -1,4 +1,4 @@
-import { makeOrderBook } from './orderBook';
+import { makeOrderState } from './orderState';
 import { makeLengthModel } from './lengthModel';
 import { updateIndex, makeWorkerIndex } from './workerIndex';
 import type {
@@ -14,7 +14,7 @@
 const MAX_WORKER_PREFIXES = 4_096;
 
 /** Rank of a tier that the manifest does not name: after all others. */
-export const LAST_RANK = 99;
+export const UNKNOWN_TIER_RANK = 99;
 
 /**
  * Makes the tables of a pool for an owner that has just taken over.
@@ -44,33 +44,33 @@
   speeds: new Map(),
   lengths: makeLengthModel(),
   slownessLogSum: 0,
-  peaks: new Map(),
+  peakConcurrency: new Map(),
   grantRates: new Map(),
   prefixWorkers: new Map(),
-  unregistered: new Set(unregistered),
+  unregisteredEntries: new Set(unregistered),
   settledAt,
   meanServiceMs: DEFAULT_SERVICE_MS,
-  orders: makeOrderBook(pool, config, settledAt),
-  missed: new Map(),
-  turn: 0,
+  orders: makeOrderState(pool, config, settledAt),
+  failedWorkersByRequest: new Map(),
+  roundRobinCounter: 0,
   comparisons: 0,
 });
 
 /** Rank of a tier; 0 is served first. */
 export const findRank = (tables: ScheduleTables, tier: string): number => (
-  tables.config.tiers[tier]?.rank ?? LAST_RANK
+  tables.config.tiers[tier]?.rank ?? UNKNOWN_TIER_RANK
 );
 
-const countRank = (tables: ScheduleTables, rank: number, change: number): void => {
+const updateRankCount = (tables: ScheduleTables, rank: number, change: number): void => {
   const count = (tables.runningByRank.get(rank) ?? 0) + change;
   tables.runningByRank.set(rank, count);
-  if (count > (tables.peaks.get(rank) ?? 0)) tables.peaks.set(rank, count);
+  if (count > (tables.peakConcurrency.get(rank) ?? 0)) tables.peakConcurrency.set(rank, count);
 };
 
 /** Counts a request as holding a slot. */
 export const addRunning = (tables: ScheduleTables, running: RunningEntity): void => {
   tables.running.set(running.requestId, running);
-  countRank(tables, running.rank, 1);
+  updateRankCount(tables, running.rank, 1);
   const worker = tables.workers.get(running.workerId);
   if (!worker) return;
   worker.running.add(running.requestId);
@@ -86,7 +86,7 @@
   const running = tables.running.get(requestId);
   if (!running) return undefined;
   tables.running.delete(requestId);
-  countRank(tables, running.rank, -1);
+  updateRankCount(tables, running.rank, -1);
   const worker = tables.workers.get(running.workerId);
   if (worker) {
     worker.running.delete(requestId);
@@ -97,7 +97,7 @@
 };
 
 /** Forgets that a worker holds a prefix. */
-export const forgetPrefix = (
+export const removePrefix = (
   tables: ScheduleTables,
   worker: WorkerEntity,
   prefix: string,
@@ -109,7 +109,7 @@
 };
 
 /** Notes that a worker will hold these prefixes; the ones used longest ago are forgotten. */
-export const notePrefixes = (
+export const recordPrefixes = (
   tables: ScheduleTables,
   worker: WorkerEntity,
   prefixes: readonly string[],
@@ -124,5 +124,5 @@
   });
   [...worker.prefixes.keys()]
     .slice(0, Math.max(0, worker.prefixes.size - MAX_WORKER_PREFIXES))
-    .forEach((prefix) => forgetPrefix(tables, worker, prefix));
+    .forEach((prefix) => removePrefix(tables, worker, prefix));
 };
--- a/src/core/schedule/scheduleTypes.ts
+++ b/src/core/schedule/scheduleTypes.ts
@@ -15,7 +15,7 @@
 export type WorkerReach = 'reached' | 'suspended' | 'probed';
 
 /** Where a worker stands while an order changes it: it takes work only when it serves. */
-export type WorkerTurn = 'serving' | 'draining' | 'loading';
+export type OrderPhase = 'serving' | 'draining' | 'loading';
 
 /** A model as a worker is to carry it. */
 export interface DesiredModel {
@@ -35,10 +35,10 @@
 export type OrderResult = 'taken' | 'outbid' | 'failed';
 
 /** What the owner of a pool knows of its orders. */
-export interface OrderBook {
+export interface OrderState {
   desired: DesiredState | undefined;
   /** No order before this, monotonic milliseconds: an earlier owner's may still arrive. */
-  from: number;
+  allowedAt: number;
   /** When the weight store bears the next load. */
   nextLoadAt: number;
 }
@@ -61,10 +61,10 @@
   canResume: boolean;
   leaving: boolean;
   /** When it last said that it leaves, monotonic milliseconds. */
-  leftAt: number;
+  lastLeavingAt: number;
   announcedAt: number;
   /** Requests running there that are not this system's, from its reported load. */
-  foreign: number;
+  externalRequests: number;
   /** Requests granted here and not yet reported as ended. */
   readonly running: Set<string>;
   /** Requests that ended of late: a reported load that lags may still count them. */
@@ -80,15 +80,15 @@
   /** How long it is left alone from then on. */
   pauseMs: number;
   /** Whether it takes orders. */
-  canOrder: boolean;
+  acceptsOrders: boolean;
   /** Digest of the state that it says it carries. */
-  carries: string;
+  reportedDigest: string;
   /** Digest of the state that it was last ordered to carry. */
-  ordered: string;
+  orderedDigest: string;
   orderedAt: number;
-  turn: WorkerTurn;
+  orderPhase: OrderPhase;
   /** When its turn last changed, monotonic milliseconds. */
-  turnAt: number;
+  orderPhaseAt: number;
 }
 
 /**
@@ -99,11 +99,11 @@
   /** Target to bucket to worker ids. */
   readonly free: Map<string, Map<string, Set<string>>>;
   /** Where each indexed worker stands. */
-  readonly places: Map<string, { readonly targets: readonly string[]; readonly bucket: string }>;
+  readonly positions: Map<string, { readonly targets: readonly string[]; readonly bucket: string }>;
   /** Slots over all workers that may be used, and those in use. */
   slots: number;
   used: number;
-  readonly counted: Map<string, { readonly slots: number; readonly used: number }>;
+  readonly slotCounts: Map<string, { readonly slots: number; readonly used: number }>;
 }
 
 /** A request that waits for a slot. */
@@ -115,7 +115,7 @@
   /** When the whole answer is late, monotonic milliseconds. */
   readonly deadlineAt: number;
   /** When its first token is late, monotonic milliseconds. */
-  readonly firstTokenAt: number;
+  readonly firstTokenDeadlineAt: number;
   /** Prompt tokens plus the output expected. */
   readonly cost: number;
   readonly outputTokens: number;
@@ -165,7 +165,7 @@
 }
 
 /** How much of a pool one account uses. */
-export interface AccountUse {
+export interface AccountUsage {
   /** Requests waiting and running. */
   requests: number;
   /** Tokens served, divided by the account's weight: the fair queue serves the least first. */
@@ -179,7 +179,7 @@
 export interface GrantRate {
   perSecond: number;
   /** When it was last brought up to date, monotonic milliseconds. */
-  at: number;
+  updatedAt: number;
 }
 
 /** All that the owner of one pool knows. */
@@ -194,28 +194,28 @@
   readonly queues: Map<number, Map<string, string[]>>;
   readonly running: Map<string, RunningEntity>;
   readonly runningByRank: Map<number, number>;
-  readonly accounts: Map<string, AccountUse>;
+  readonly accounts: Map<string, AccountUsage>;
   readonly speeds: SpeedTable;
   readonly lengths: LengthModel;
   /** Sum of the logarithms of all workers' slowness, for their geometric mean. */
   slownessLogSum: number;
   /** Most requests of a rank that ran at once of late; decays. */
-  readonly peaks: Map<number, number>;
+  readonly peakConcurrency: Map<number, number>;
   /** Prefix to the workers it was dispatched to. */
   readonly prefixWorkers: Map<string, Set<string>>;
   /** Entries that must still tell what they run before this owner may shed. */
-  readonly unregistered: Set<string>;
+  readonly unregisteredEntries: Set<string>;
   /** Until then an earlier owner's grants may still start. */
   settledAt: number;
   /** Grants a second of each rank, decaying. */
   readonly grantRates: Map<number, GrantRate>;
   /** Smoothed time that a request holds a slot, in milliseconds. */
   meanServiceMs: number;
-  readonly orders: OrderBook;
+  readonly orders: OrderState;
   /** Request to the workers that it did not reach; the oldest are forgotten. */
-  readonly missed: Map<string, readonly string[]>;
+  readonly failedWorkersByRequest: Map<string, readonly string[]>;
   /** Turn counter of the round-robin baseline. */
-  turn: number;
+  roundRobinCounter: number;
   /** Workers looked at while choosing, for the bench. */
   comparisons: number;
 }
--- a/src/core/schedule/shedSystem.ts
+++ b/src/core/schedule/shedSystem.ts
@@ -1,6 +1,6 @@
-import { releaseAccountUse } from './accountUse';
-import { countAhead, countInRank, removeWaiting } from './fairQueue';
-import { computeGrantMs } from './grantRate';
+import { releaseAccountUsage } from './accountUsage';
+import { countAhead, countAheadInRank, removeWaiting } from './fairQueue';
+import { estimateGrantIntervalMs } from './grantRate';
 import { estimateTotalMs } from './speedModel';
 import type { ResultCode } from '../../errors/resultCodes';
 import type { ScheduleStep, ScheduleTables, WaitingEntity } from './scheduleTypes';
@@ -8,7 +8,7 @@
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 30_000;
 /** Once no worker that can be reached has been known for this long, waiting for one is given up. */
-const NO_WORKER_MS = 3_000;
+const NO_WORKER_TIMEOUT_MS = 3_000;
 
 const estimateSlotWaitMs = (tables: ScheduleTables, ahead: number): number => (
   ((ahead + 1) * tables.meanServiceMs) / Math.max(1, tables.index.slots)
@@ -29,14 +29,14 @@
   const { slots, used } = tables.index;
   const ahead = countAhead(tables, rank, ask.account);
   if (used + ahead < slots) return 0;
-  const inRank = countInRank(tables, rank, ask.account);
+  const inRank = countAheadInRank(tables, rank, ask.account);
   const bySlots = estimateSlotWaitMs(tables, ahead);
   if (inRank === 0) return bySlots;
-  return Math.max(bySlots, (inRank + 1) * computeGrantMs(tables, rank, now));
+  return Math.max(bySlots, (inRank + 1) * estimateGrantIntervalMs(tables, rank, now));
 };
 
 /** The time to come back that goes with a refusal, in milliseconds. */
-export const computeRetryMs = (
+export const computeRetryAfterMs = (
   tables: ScheduleTables,
   waiting: WaitingEntity,
   now: number,
@@ -45,7 +45,7 @@
   return Math.round(Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs)));
 };
 
-const runsLower = (tables: ScheduleTables, rank: number): boolean => (
+const hasLowerTierRunning = (tables: ScheduleTables, rank: number): boolean => (
   [...tables.runningByRank].some(([other, count]) => other > rank && count > 0)
 );
 
@@ -61,8 +61,8 @@
  */
 export const canShed = (tables: ScheduleTables, rank: number, now: number): boolean => {
   if (tables.policy.name !== 'owner' || isLowestRank(tables, rank)) return true;
-  const settled = tables.unregistered.size === 0 && now >= tables.settledAt;
-  return settled && !runsLower(tables, rank);
+  const isSettled = tables.unregisteredEntries.size === 0 && now >= tables.settledAt;
+  return isSettled && !hasLowerTierRunning(tables, rank);
 };
 
 /** Gives a waiting request its final answer, at once. */
@@ -74,18 +74,18 @@
 ): void => {
   const { tables, now } = step;
   removeWaiting(tables, waiting.ask.requestId);
-  releaseAccountUse(tables, waiting.ask.account, waiting.cost);
+  releaseAccountUsage(tables, waiting.ask.account, waiting.cost);
   step.effects.push({
     kind: 'refuse',
     requestId: waiting.ask.requestId,
     code,
     message,
-    retryAfterMs: computeRetryMs(tables, waiting, now),
+    retryAfterMs: computeRetryAfterMs(tables, waiting, now),
   });
 };
 
 /** The least time that the request itself takes, in milliseconds. */
-const findFastestMs = (tables: ScheduleTables, { ask, outputTokens }: WaitingEntity): number => {
+const estimateMinimumMs = (tables: ScheduleTables, { ask, outputTokens }: WaitingEntity): number => {
   const promptTokens = ask.prefixes.length > 0 ? 0 : ask.promptTokens;
   const times = [...tables.speeds.keys()].map((hardware) => (
     estimateTotalMs(tables.speeds, hardware, 1, promptTokens, outputTokens)));
@@ -103,8 +103,8 @@
 ): boolean => {
   const startAt = now + waitMs;
   if (tables.speeds.size === 0) return startAt <= waiting.deadlineAt;
-  return startAt <= waiting.firstTokenAt
-    && startAt + findFastestMs(tables, waiting) <= waiting.deadlineAt;
+  return startAt <= waiting.firstTokenDeadlineAt
+    && startAt + estimateMinimumMs(tables, waiting) <= waiting.deadlineAt;
 };
 
 const shedLate = (step: ScheduleStep, waiting: WaitingEntity): void => {
@@ -115,11 +115,11 @@
 
 const shedWithoutWorker = (step: ScheduleStep, waiting: WaitingEntity): void => {
   const { tables, now } = step;
-  if (now - waiting.askedAt < NO_WORKER_MS || !tables.waiting.has(waiting.ask.requestId)) return;
-  const served = [...tables.workers.values()]
+  if (now - waiting.askedAt < NO_WORKER_TIMEOUT_MS || !tables.waiting.has(waiting.ask.requestId)) return;
+  const isServed = [...tables.workers.values()]
     .filter((worker) => !worker.leaving && worker.reach !== 'suspended')
     .some((worker) => worker.targets.includes(waiting.ask.target));
-  if (served || !canShed(tables, waiting.rank, now)) return;
+  if (isServed || !canShed(tables, waiting.rank, now)) return;
   refuseWaiting(step, waiting, 'noBackend', `no backend server of pool "${tables.pool}" carries "${waiting.ask.target}"`);
 };
 
@@ -159,7 +159,7 @@
  * @example
  * if (!isHopeless(tables, waiting, now)) addWaiting(tables, waiting);
  */
-export const isHopeless = (
+export const isDeadlineUnreachable = (
   tables: ScheduleTables,
   waiting: WaitingEntity,
   now: number,
--- a/src/core/schedule/workerIndex.ts
+++ b/src/core/schedule/workerIndex.ts
@@ -4,7 +4,7 @@
 
 /** Makes an empty index. */
 export const makeWorkerIndex = (): WorkerIndex => ({
-  free: new Map(), places: new Map(), slots: 0, used: 0, counted: new Map(),
+  free: new Map(), positions: new Map(), slots: 0, used: 0, slotCounts: new Map(),
 });
 
 /**
@@ -14,9 +14,9 @@
  * @example
  * const free = readUsableSlots(worker) - worker.running.size;
  */
-export const readUsableSlots = (worker: WorkerEntity): number => {
-  if (worker.leaving || worker.reach === 'suspended' || worker.turn !== 'serving') return 0;
-  const own = Math.max(0, worker.slots - worker.foreign);
+export const computeUsableSlots = (worker: WorkerEntity): number => {
+  if (worker.leaving || worker.reach === 'suspended' || worker.orderPhase !== 'serving') return 0;
+  const own = Math.max(0, worker.slots - worker.externalRequests);
   const isProbed = worker.pace === 'eased' || worker.reach === 'probed';
   return isProbed ? Math.min(PROBE_SLOTS, own) : own;
 };
@@ -25,21 +25,21 @@
   `${worker.hardware}\n${worker.running.size}\n${worker.pace}\n${worker.zone}`
 );
 
-const removePlace = (index: WorkerIndex, id: string): void => {
-  const place = index.places.get(id);
-  if (!place) return;
-  index.places.delete(id);
-  place.targets.forEach((target) => {
+const removeFromBuckets = (index: WorkerIndex, id: string): void => {
+  const position = index.positions.get(id);
+  if (!position) return;
+  index.positions.delete(id);
+  position.targets.forEach((target) => {
     const buckets = index.free.get(target);
-    const ids = buckets?.get(place.bucket);
+    const ids = buckets?.get(position.bucket);
     ids?.delete(id);
-    if (ids?.size === 0) buckets?.delete(place.bucket);
+    if (ids?.size === 0) buckets?.delete(position.bucket);
   });
 };
 
-const addPlace = (index: WorkerIndex, worker: WorkerEntity): void => {
+const addToBuckets = (index: WorkerIndex, worker: WorkerEntity): void => {
   const bucket = formatBucket(worker);
-  index.places.set(worker.id, { targets: worker.targets, bucket });
+  index.positions.set(worker.id, { targets: worker.targets, bucket });
   worker.targets.forEach((target) => {
     const buckets = index.free.get(target) ?? new Map<string, Set<string>>();
     index.free.set(target, buckets);
@@ -49,11 +49,11 @@
   });
 };
 
-const countSlots = (index: WorkerIndex, id: string, slots: number, used: number): void => {
-  const old = index.counted.get(id) ?? { slots: 0, used: 0 };
+const updateSlotCounts = (index: WorkerIndex, id: string, slots: number, used: number): void => {
+  const old = index.slotCounts.get(id) ?? { slots: 0, used: 0 };
   index.slots += slots - old.slots;
   index.used += used - old.used;
-  index.counted.set(id, { slots, used });
+  index.slotCounts.set(id, { slots, used });
 };
 
 /**
@@ -64,17 +64,17 @@
  * updateIndex(index, worker);
  */
 export const updateIndex = (index: WorkerIndex, worker: WorkerEntity): void => {
-  removePlace(index, worker.id);
-  const usable = readUsableSlots(worker);
-  countSlots(index, worker.id, usable, worker.running.size);
-  if (worker.running.size < usable) addPlace(index, worker);
+  removeFromBuckets(index, worker.id);
+  const usable = computeUsableSlots(worker);
+  updateSlotCounts(index, worker.id, usable, worker.running.size);
+  if (worker.running.size < usable) addToBuckets(index, worker);
 };
 
 /** Takes a worker out. */
 export const removeFromIndex = (index: WorkerIndex, id: string): void => {
-  removePlace(index, id);
-  countSlots(index, id, 0, 0);
-  index.counted.delete(id);
+  removeFromBuckets(index, id);
+  updateSlotCounts(index, id, 0, 0);
+  index.slotCounts.delete(id);
 };
 
 /** One worker of every bucket that serves a target. */
@@ -84,4 +84,4 @@
 );
 
 /** Whether a worker has a free slot. */
-export const hasFreeSlot = (index: WorkerIndex, id: string): boolean => index.places.has(id);
+export const hasFreeSlot = (index: WorkerIndex, id: string): boolean => index.positions.has(id);
--- a/src/core/schedule/workerReach.ts
+++ b/src/core/schedule/workerReach.ts
@@ -5,7 +5,7 @@
 
 const FIRST_PAUSE_MS = 500;
 const MAX_PAUSE_MS = 30_000;
-const MAX_MISSED = 1_000;
+const MAX_TRACKED_REQUESTS = 1_000;
 
 const setReach = (
   tables: ScheduleTables,
@@ -17,17 +17,17 @@
 };
 
 /** Whether a grant says something of the worker as it is now, and not as it was before a pause. */
-const isFresh = (worker: WorkerEntity, { grantedAt }: RunningEntity): boolean => (
+const isCurrentGrant = (worker: WorkerEntity, { grantedAt }: RunningEntity): boolean => (
   grantedAt >= worker.suspendedAt
 );
 
-const noteMissed = ({ missed }: ScheduleTables, { requestId, workerId }: RunningEntity): void => {
-  const workers = missed.get(requestId) ?? [];
-  missed.delete(requestId);
-  missed.set(requestId, [...workers, workerId]);
-  [...missed.keys()]
-    .slice(0, Math.max(0, missed.size - MAX_MISSED))
-    .forEach((oldest) => missed.delete(oldest));
+const recordFailedWorker = ({ failedWorkersByRequest: failedWorkersByRequest }: ScheduleTables, { requestId, workerId }: RunningEntity): void => {
+  const workers = failedWorkersByRequest.get(requestId) ?? [];
+  failedWorkersByRequest.delete(requestId);
+  failedWorkersByRequest.set(requestId, [...workers, workerId]);
+  [...failedWorkersByRequest.keys()]
+    .slice(0, Math.max(0, failedWorkersByRequest.size - MAX_TRACKED_REQUESTS))
+    .forEach((oldest) => failedWorkersByRequest.delete(oldest));
 };
 
 /*
@@ -35,15 +35,15 @@
  * it is kept for the others that carry its target, busy or not, and goes back only when there is no
  * other.
  */
-export const canTry = (
+export const canAttempt = (
   tables: ScheduleTables,
   { ask: { requestId, target } }: WaitingEntity,
   worker: WorkerEntity,
 ): boolean => {
-  const missed = tables.missed.get(requestId);
-  if (!missed?.includes(worker.id)) return true;
+  const failedWorkers = tables.failedWorkersByRequest.get(requestId);
+  if (!failedWorkers?.includes(worker.id)) return true;
   return ![...tables.workers.values()]
-    .filter(({ id, leaving, reach }) => !missed.includes(id) && !leaving && reach !== 'suspended')
+    .filter(({ id, leaving, reach }) => !failedWorkers.includes(id) && !leaving && reach !== 'suspended')
     .some(({ targets }) => targets.includes(target));
 };
 
@@ -54,27 +54,27 @@
  * left. It is left alone for a pause that doubles, and then gets one request as a probe. Grants
  * that were under way together count as one failure.
  */
-export const noteUnreached = (step: ScheduleStep, running: RunningEntity): void => {
+export const handleUnreachable = (step: ScheduleStep, running: RunningEntity): void => {
   const { tables, now } = step;
-  noteMissed(tables, running);
+  recordFailedWorker(tables, running);
   const worker = tables.workers.get(running.workerId);
-  if (!worker || !isFresh(worker, running)) return;
+  if (!worker || !isCurrentGrant(worker, running)) return;
   worker.suspendedAt = now;
   worker.pauseMs = Math.min(MAX_PAUSE_MS, Math.max(FIRST_PAUSE_MS, worker.pauseMs * 2));
   setReach(tables, worker, 'suspended');
 };
 
 /** A request arrived at the worker: it takes its full load again. */
-export const noteReached = ({ tables }: ScheduleStep, running: RunningEntity): void => {
-  tables.missed.delete(running.requestId);
+export const handleReached = ({ tables }: ScheduleStep, running: RunningEntity): void => {
+  tables.failedWorkersByRequest.delete(running.requestId);
   const worker = tables.workers.get(running.workerId);
-  if (!worker || worker.reach === 'reached' || !isFresh(worker, running)) return;
+  if (!worker || worker.reach === 'reached' || !isCurrentGrant(worker, running)) return;
   worker.pauseMs = 0;
   setReach(tables, worker, 'reached');
 };
 
 /** A new start of a worker is probed at once: what was learnt of the one before may be wrong. */
-export const noteNewStart = ({ tables }: ScheduleStep, worker: WorkerEntity): void => {
+export const handleRestart = ({ tables }: ScheduleStep, worker: WorkerEntity): void => {
   if (worker.reach === 'suspended') setReach(tables, worker, 'probed');
 };
 
--- a/src/core/schedule/workerSystems.ts
+++ b/src/core/schedule/workerSystems.ts
@@ -1,32 +1,32 @@
-import { trimAccounts } from './accountUse';
-import { forgetPrefix } from './scheduleTables';
+import { removeUnusedAccounts } from './accountUsage';
+import { removePrefix } from './scheduleTables';
 import { removeFromIndex, updateIndex } from './workerIndex';
 import type {
   RunningEntity, ScheduleStep, ScheduleTables, WorkerEntity,
 } from './scheduleTypes';
 
 /** Silence after which a backend server counts as leaving, in milliseconds. */
-export const ANNOUNCEMENT_LEASE_MS = 3_000;
+export const ANNOUNCEMENT_TIMEOUT_MS = 3_000;
 
-const FORGET_WORKER_MS = 60_000;
-const EASE_ABOVE = 2.5;
-const STEADY_BELOW = 1.5;
+const WORKER_RETENTION_MS = 60_000;
+const EASED_ABOVE_SLOWNESS = 2.5;
+const STEADY_BELOW_SLOWNESS = 1.5;
 const SLOWNESS_SMOOTHING = 0.3;
 const LATE_FACTOR = 4;
-const LATE_SLACK_MS = 1_000;
+const LATE_MARGIN_MS = 1_000;
 const MAX_SLOWNESS_SAMPLE = 10;
 const PEAK_HALF_LIFE_TICKS = 600;
 
-const silenceWorker = ({ tables, now }: ScheduleStep, worker: WorkerEntity): void => {
-  if (worker.leaving || now - worker.announcedAt < ANNOUNCEMENT_LEASE_MS) return;
+const expireWorker = ({ tables, now }: ScheduleStep, worker: WorkerEntity): void => {
+  if (worker.leaving || now - worker.announcedAt < ANNOUNCEMENT_TIMEOUT_MS) return;
   worker.leaving = true;
   updateIndex(tables.index, worker);
 };
 
-const forgetWorker = ({ tables, now }: ScheduleStep, worker: WorkerEntity): void => {
-  const gone = now - worker.announcedAt > FORGET_WORKER_MS && worker.running.size === 0;
-  if (!gone) return;
-  [...worker.prefixes.keys()].forEach((prefix) => forgetPrefix(tables, worker, prefix));
+const removeWorker = ({ tables, now }: ScheduleStep, worker: WorkerEntity): void => {
+  const isExpired = now - worker.announcedAt > WORKER_RETENTION_MS && worker.running.size === 0;
+  if (!isExpired) return;
+  [...worker.prefixes.keys()].forEach((prefix) => removePrefix(tables, worker, prefix));
   removeFromIndex(tables.index, worker.id);
   tables.slownessLogSum -= Math.log(worker.slowness);
   tables.workers.delete(worker.id);
@@ -36,10 +36,10 @@
 export const runExpirySystem = (step: ScheduleStep): void => {
   const { tables } = step;
   [...tables.workers.values()].forEach((worker) => {
-    silenceWorker(step, worker);
-    forgetWorker(step, worker);
+    expireWorker(step, worker);
+    removeWorker(step, worker);
   });
-  trimAccounts(tables);
+  removeUnusedAccounts(tables);
 };
 
 /*
@@ -53,8 +53,8 @@
 const setPace = (tables: ScheduleTables, worker: WorkerEntity): void => {
   const { pace } = worker;
   const slowness = computeRelativeSlowness(tables, worker);
-  if (slowness > EASE_ABOVE) worker.pace = 'eased';
-  if (slowness < STEADY_BELOW) worker.pace = 'steady';
+  if (slowness > EASED_ABOVE_SLOWNESS) worker.pace = 'eased';
+  if (slowness < STEADY_BELOW_SLOWNESS) worker.pace = 'steady';
   if (worker.pace !== pace) updateIndex(tables.index, worker);
 };
 
@@ -81,7 +81,7 @@
 
 const markLate = ({ tables, now }: ScheduleStep, running: RunningEntity): void => {
   if (running.started || running.late) return;
-  const allowed = running.expectedFirstTokenMs * LATE_FACTOR + LATE_SLACK_MS;
+  const allowed = running.expectedFirstTokenMs * LATE_FACTOR + LATE_MARGIN_MS;
   if (now - running.grantedAt < allowed) return;
   running.late = true;
   const worker = tables.workers.get(running.workerId);
@@ -94,9 +94,9 @@
 };
 
 /** Lets the learnt need for headroom fade. */
-export const runPeakSystem = ({ tables }: ScheduleStep): void => {
-  tables.peaks.forEach((peak, rank) => {
-    const runs = tables.runningByRank.get(rank) ?? 0;
-    tables.peaks.set(rank, Math.max(runs, peak * 0.5 ** (1 / PEAK_HALF_LIFE_TICKS)));
+export const runPeakDecaySystem = ({ tables }: ScheduleStep): void => {
+  tables.peakConcurrency.forEach((peak, rank) => {
+    const running = tables.runningByRank.get(rank) ?? 0;
+    tables.peakConcurrency.set(rank, Math.max(running, peak * 0.5 ** (1 / PEAK_HALF_LIFE_TICKS)));
   });
 };
--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import type { ClaimClient } from '../sending/claimClient';
-import { rankEntries } from '../../core/membership/locate';
+import { rankEntries } from '../../core/membership/entrySelection';
 import { BeechliftError, toBeechliftError } from '../../errors/beechliftError';
 import { resultCodes } from '../../errors/resultCodes';
 import type { Manifest } from '../../manifest/manifest';
--- a/src/entry/choosing/announcementCache.ts
+++ b/src/entry/choosing/announcementCache.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from 'lru-cache';
-import { ANNOUNCEMENT_FLIGHT_MS } from '../../core/schedule/announcements';
+import { MAX_ANNOUNCEMENT_DELAY_MS } from '../../core/schedule/announcements';
 import type { Announcement } from '../../protocol/generated/beechlift';
 
 /** How long an announcement is good for an owner that takes over. */
@@ -43,7 +43,7 @@
     const incarnationKey = formatIncarnationKey(announcement);
     const leftAt = this.leftAt.get(incarnationKey);
     const isLeaving = announcement.state === 'leaving';
-    const mayBeOutdated = leftAt !== undefined && now - leftAt < ANNOUNCEMENT_FLIGHT_MS;
+    const mayBeOutdated = leftAt !== undefined && now - leftAt < MAX_ANNOUNCEMENT_DELAY_MS;
     if (!isLeaving && mayBeOutdated) return false;
     // A server that is ready after all may leave again: that is news once more.
     if (isLeaving) this.leftAt.set(incarnationKey, now);
--- a/src/entry/choosing/orderSender.ts
+++ b/src/entry/choosing/orderSender.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
 import type { Dispatcher } from 'undici';
-import { ORDER_FLIGHT_MS } from '../../core/schedule/orderBook';
+import { MAX_ORDER_DELAY_MS } from '../../core/schedule/orderState';
 import type { DesiredState, OrderResult } from '../../core/schedule/scheduleTypes';
 import { toBeechliftError } from '../../errors/beechliftError';
 import type { Logger } from '../../telemetry/logger';
@@ -37,7 +37,7 @@
       method: 'PUT',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(order),
-      signal: AbortSignal.timeout(ORDER_FLIGHT_MS),
+      signal: AbortSignal.timeout(MAX_ORDER_DELAY_MS),
     });
     await response.body.dump();
     return response;
--- a/src/entry/choosing/poolOwner.ts
+++ b/src/entry/choosing/poolOwner.ts
@@ -4,7 +4,7 @@
 import { BeechliftError } from '../../errors/beechliftError';
 import { resultCodes } from '../../errors/resultCodes';
 import { handleScheduleEvent } from '../../core/schedule/poolSchedule';
-import { GRANT_MS } from '../../core/schedule/grantSystem';
+import { GRANT_TIMEOUT_MS } from '../../core/schedule/grantSystem';
 import type {
   ScheduleEffect, ScheduleEvent, ScheduleTables,
 } from '../../core/schedule/scheduleTypes';
@@ -25,7 +25,7 @@
     workerId: effect.workerId,
     workerAddress: effect.workerAddress,
     workerIncarnation: effect.workerIncarnation,
-    grantMs: GRANT_MS,
+    grantMs: GRANT_TIMEOUT_MS,
     canResume: effect.canResume,
     message: '',
   }),
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -3,8 +3,8 @@
 import type {
   Announcement, AskReply, AskRequest, Member, RegisterRequest, ReportRequest, RunningRequest,
 } from '../../protocol/generated/beechlift';
-import { findOwner } from '../../core/membership/locate';
-import { GRANT_MS } from '../../core/schedule/grantSystem';
+import { findOwner } from '../../core/membership/entrySelection';
+import { GRANT_TIMEOUT_MS } from '../../core/schedule/grantSystem';
 import { DEFAULT_POLICY, makeScheduleTables } from '../../core/schedule/scheduleTables';
 import type { PolicySettings } from '../../core/schedule/scheduleTypes';
 import { BeechliftError } from '../../errors/beechliftError';
@@ -22,7 +22,7 @@
 const PEER_TIMEOUT_MS = 800;
 const OWNER_RETRY_MS = 100;
 /** An earlier owner may go on granting until it hears of the view or its lease ends. */
-const HANDOVER_MS = GRANT_MS + 3_000;
+const HANDOVER_MS = GRANT_TIMEOUT_MS + 3_000;
 
 /** A running request with its pool. */
 export interface PooledRequest {
--- a/src/entry/choosing/workerStatus.ts
+++ b/src/entry/choosing/workerStatus.ts
@@ -13,6 +13,6 @@
   leaving: worker.leaving,
   pace: worker.pace,
   reach: worker.reach,
-  turn: worker.turn,
-  isAsWanted: worker.carries === tables.orders.desired?.digest,
+  turn: worker.orderPhase,
+  isAsWanted: worker.reportedDigest === tables.orders.desired?.digest,
 });
--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -4,7 +4,7 @@
   AcceptClaimRequest, Ballot, ClaimReply, ClaimValue, HolderSet, PrepareClaimRequest, Replica,
 } from '../../protocol/generated/beechlift';
 import {
-  findBoundValue, findHolderGroups, judgeQuorum, listHolders, raiseBallot,
+  findAcceptedValue, findHolderGroups, evaluateQuorum, listHolders, computeNextBallot,
 } from '../../core/claims/claimQuorum';
 import type { HolderGroups } from '../../core/claims/claimQuorum';
 import { BeechliftError } from '../../errors/beechliftError';
@@ -43,7 +43,7 @@
   const failed = new Set<string>();
   const failures: string[] = [];
   const checkQuorum = () => {
-    const state = judgeQuorum(groups, replies, failed);
+    const state = evaluateQuorum(groups, replies, failed);
     if (state !== 'open') resolve({ replies, won: state === 'won', failures });
   };
   const holders = listHolders(groups);
@@ -149,10 +149,10 @@
       { holderSet: groups.number, key, ballot },
       operation,
     ));
-    if (round.won) return { key, ballot, bound: findBoundValue(round.replies.values()) };
+    if (round.won) return { key, ballot, bound: findAcceptedValue(round.replies.values()) };
     operation.note(`claim: ballot ${ballot.round} lost: ${formatRound(round)}`);
     await this.pauseBeforeRetry(operation, attempts);
-    const next = raiseBallot(ballot.proposer, round.replies.values(), ballot);
+    const next = computeNextBallot(ballot.proposer, round.replies.values(), ballot);
     return this.tryPrepare(key, next, operation, attempts - 1);
   }
 
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto';
 import { setTimeout as pause } from 'node:timers/promises';
 import type { AskReply, ClaimValue } from '../../protocol/generated/beechlift';
-import { GRANT_MS } from '../../core/schedule/grantSystem';
+import { GRANT_TIMEOUT_MS } from '../../core/schedule/grantSystem';
 import { BeechliftError } from '../../errors/beechliftError';
 import type { Manifest } from '../../manifest/manifest';
 import type { Metrics } from '../../telemetry/metrics';
@@ -25,7 +25,7 @@
 import { UnknownStreamError } from './unknownStreamError';
 
 /** Longest time from a written claim to the arrival of its dispatch at the engine. */
-const MAX_DISPATCH_DELAY_MS = GRANT_MS + 500;
+const MAX_DISPATCH_DELAY_MS = GRANT_TIMEOUT_MS + 500;
 const ARRIVAL_POLL_MS = 100;
 
 /** What runs model requests. */
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -1,4 +1,4 @@
-import { REPLICAS_COMMAND } from '../../src/core/log/logState';
+import { REPLICAS_COMMAND_PREFIX } from '../../src/core/log/logState';
 import type { LogState } from '../../src/core/log/logTypes';
 import type { LogMessage, Replica } from '../../src/protocol/generated/beechlift';
 import { Operation } from '../../src/utils/operation';
@@ -36,7 +36,7 @@
 const ROUND_MS = 60;
 
 const isReplicaSetCommitted = ({ entries, commitIndex }: LogState): boolean => !entries.some(
-  ({ index, command }) => index > commitIndex && command.startsWith(REPLICAS_COMMAND),
+  ({ index, command }) => index > commitIndex && command.startsWith(REPLICAS_COMMAND_PREFIX),
 );
 
 const settleTasks = async (): Promise<void> => {
--- a/tests/core/bad-input.spec.ts
+++ b/tests/core/bad-input.spec.ts
@@ -58,13 +58,13 @@
   ))
   .map((result) => JSON.stringify(result) ?? '');
 
-const buildSpoilt = (document: unknown): fc.Arbitrary<string> => fc.oneof(
+const buildInvalid = (document: unknown): fc.Arbitrary<string> => fc.oneof(
   { weight: 4, arbitrary: buildChanged(document) },
   { weight: 1, arbitrary: fc.string() },
 );
 
 /** Whether it gives a result or an error with a number. */
-const hasAnswer = (read: () => unknown): boolean => {
+const hasDefinedOutcome = (read: () => unknown): boolean => {
   try {
     return read() !== undefined;
   } catch (error) {
@@ -80,7 +80,7 @@
 
 describe('bad input in bulk', () => {
   it('should find the faults of any manifest and never fail on one', () => {
-    runSearch(fc.property(buildSpoilt(JSON.parse(readExample('manifest.json'))), (text) => {
+    runSearch(fc.property(buildInvalid(JSON.parse(readExample('manifest.json'))), (text) => {
       const { manifest: good, faults } = checkManifest(text, manifest);
       expect(faults.length > 0).toBe(good === undefined);
       expect(faults.every(({ code, path, message }) => code && path && message)).toBe(true);
@@ -97,7 +97,7 @@
   ] as const)('should answer any settings of %s with a number', (kind, parse, good) => {
     expect(parse(JSON.stringify(good))).toBeDefined();
     runSearch(
-      fc.property(buildSpoilt(good), (text) => hasAnswer(() => parse(text))),
+      fc.property(buildInvalid(good), (text) => hasDefinedOutcome(() => parse(text))),
       SEARCH,
     );
   });
@@ -107,8 +107,8 @@
       id: 'g1', incarnation: 'a', pool, kind: 'model', address: '127.0.0.1:1', models: [model], slots: 4, abilities: ['resume'], state: 'ready', running: 1, loadAgeMs: 5, evictedPrefixes: ['a'], orderDigest: '',
     };
     runSearch(fc.property(
-      buildSpoilt(good),
-      (text) => hasAnswer(() => readAnnouncement(text, manifest)),
+      buildInvalid(good),
+      (text) => hasDefinedOutcome(() => readAnnouncement(text, manifest)),
     ), SEARCH);
   });
 
@@ -118,17 +118,17 @@
     };
     const paths = fc.constantFrom('/v1/completions', '/v1/chat/completions');
     runSearch(fc.property(
-      buildSpoilt(good),
+      buildInvalid(good),
       anyHeaders,
       paths,
-      (text, headers, path) => hasAnswer(() => readCompletionRequest({
+      (text, headers, path) => hasDefinedOutcome(() => readCompletionRequest({
         id: 'r', path, text, headers, known, manifest,
       })),
     ), SEARCH);
     runSearch(fc.property(
       fc.string(),
       anyHeaders,
-      (name, headers) => hasAnswer(() => readServiceRequest({
+      (name, headers) => hasDefinedOutcome(() => readServiceRequest({
         id: 'r', name, method: 'POST', path: '/', body: Buffer.from(name), headers, known, manifest,
       })),
     ), SEARCH);
--- a/tests/core/claims-model.spec.ts
+++ b/tests/core/claims-model.spec.ts
@@ -16,7 +16,7 @@
 import { runSearchAsync } from '../fakes/runSearch';
 
 const SEARCH = { runs: 200, seed: 4_711 };
-const ANEW_SEARCH = { runs: 2_000, seed: 4_711 };
+const RELEASE_SEARCH = { runs: 2_000, seed: 4_711 };
 const IDS = ['c1', 'c2', 'c3'];
 const HOLDERS: HolderSet = {
   number: 1, previous: [], current: IDS.map((id) => ({ id, address: id, zone: id })),
@@ -94,10 +94,10 @@
 });
 
 /** Dispatches after it has given some dispatches back; whether the last one went through. */
-const tryAnew = async (
+const tryAfterReleases = async (
   client: ClaimClient,
   streamId: string,
-  given: number,
+  releases: number,
 ): Promise<boolean> => {
   const operation = new Operation({ timeoutMs: 5_000 });
   const claim = new RequestClaim(KEYED, client);
@@ -111,7 +111,7 @@
   };
   try {
     await claim.acquire(operation);
-    return claim.bound === undefined && await tryNext(given);
+    return claim.bound === undefined && await tryNext(releases);
   } catch {
     return false;
   }
@@ -147,9 +147,9 @@
           ).then(() => site.restart(id)).catch(() => undefined);
         });
         await scheduler.waitFor(tries);
-        const won = (await tries).filter(Boolean).length;
-        dispatches += won;
-        return won <= 1;
+        const dispatched = (await tries).filter(Boolean).length;
+        dispatches += dispatched;
+        return dispatched <= 1;
       },
     ), SEARCH);
     // The check would pass if nobody ever dispatched.
@@ -166,23 +166,23 @@
       fc.scheduler(),
       fc.infiniteStream(fc.nat({ max: 9 })),
       fc.tuple(fc.nat({ max: 2 }), fc.nat({ max: 2 }), fc.nat({ max: 1 })),
-      async (scheduler, losses, given) => {
+      async (scheduler, losses, releaseCounts) => {
         const site = new HolderSite();
         await Promise.all(IDS.map((id) => site.start(id)));
         site.scheduler = scheduler;
         const links = site.makeLinks(scheduler, () => losses.next().value === 0);
         const wait = () => scheduler.schedule(Promise.resolve(), 'pause');
-        const tries = Promise.all(given.map((count, position) => tryAnew(
+        const tries = Promise.all(releaseCounts.map((count, position) => tryAfterReleases(
           new ClaimClient(`e${position}`, links, () => HOLDERS, wait),
           `s${position}`,
           count,
         )));
         await scheduler.waitFor(tries);
-        const won = (await tries).filter(Boolean).length;
-        dispatches += won;
-        return won <= 1;
+        const dispatched = (await tries).filter(Boolean).length;
+        dispatches += dispatched;
+        return dispatched <= 1;
       },
-    ), ANEW_SEARCH);
+    ), RELEASE_SEARCH);
     // The check would pass if nobody ever dispatched.
     expect(dispatches).toBeGreaterThan(runs / 3);
   });
--- a/tests/core/log-guards.spec.ts
+++ b/tests/core/log-guards.spec.ts
@@ -121,8 +121,8 @@
     const vote = (now: number) => findReply(
       deliver(restarted, { kind: 'vote', from: 'c2', term: 5 }, now),
     )?.granted;
-    const { electionMs } = DEFAULT_LOG_TIMINGS;
-    expect(vote(LATER + electionMs - 1)).toBe(false);
-    expect(vote(LATER + electionMs + 1)).toBe(true);
+    const { electionTimeoutMs: electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
+    expect(vote(LATER + electionTimeoutMs - 1)).toBe(false);
+    expect(vote(LATER + electionTimeoutMs + 1)).toBe(true);
   });
 });
--- a/tests/core/logModel.ts
+++ b/tests/core/logModel.ts
@@ -171,7 +171,7 @@
 
   private perform(node: ModelNode, effect: LogEffect): void {
     if (effect.kind === 'send') this.network.push(effect.message);
-    if (effect.kind === 'apply') this.noteApplied(effect.entry);
+    if (effect.kind === 'apply') this.recordApplied(effect.entry);
     if (effect.kind === 'roleChanged' && effect.role === 'leader') {
       const other = this.leaders.get(effect.term) ?? node.state.id;
       if (other !== node.state.id) throw new Error(`two leaders in term ${effect.term}`);
@@ -179,7 +179,7 @@
     }
   }
 
-  private noteApplied({ index, term, command }: LogEntry): void {
+  private recordApplied({ index, term, command }: LogEntry): void {
     const text = `${term} ${command}`;
     const known = this.history.get(index) ?? text;
     if (known !== text) throw new Error(`index ${index} was "${known}" and is "${text}"`);
--- a/tests/core/orders.spec.ts
+++ b/tests/core/orders.spec.ts
@@ -5,7 +5,7 @@
   announce, ask, config, finish, listKinds, makeTables,
 } from './scheduleModel';
 
-const makeSite = (modelVersion: string, checksFencing = true): ScheduleConfig => ({
+const makeConfig = (modelVersion: string, checksFencing = true): ScheduleConfig => ({
   ...config,
   models: { guide: { contextTokens: 1_000, adapters: ['ro'], modelVersion } },
   pools: {
@@ -18,16 +18,16 @@
 const LOAD_MS = 1_000;
 
 const makePool = (settledAt = -LOAD_MS, checksFencing = true): ScheduleTables => (
-  makeTables([], settledAt, makeSite('1', checksFencing))
+  makeTables([], settledAt, makeConfig('1', checksFencing))
 );
 
 const tick = (tables: ScheduleTables, now: number) => (
   listKinds(handleScheduleEvent(tables, { kind: 'tick' }, now))
 );
 
-const readWanted = (tables: ScheduleTables): string => tables.orders.desired?.digest ?? '';
+const readDesiredDigest = (tables: ScheduleTables): string => tables.orders.desired?.digest ?? '';
 
-const announceOrdered = (
+const announceWithOrders = (
   tables: ScheduleTables,
   id: string,
   now: number,
@@ -42,13 +42,13 @@
    */
   it('should roll through a pool and never take the last ready worker', () => {
     const tables = makePool();
-    announceOrdered(tables, 'g1', 0);
+    announceWithOrders(tables, 'g1', 0);
     expect([tick(tables, 10), tick(tables, 20)]).toEqual([[], []]);
-    ['g2', 'g3'].forEach((id) => announceOrdered(tables, id, 100));
+    ['g2', 'g3'].forEach((id) => announceWithOrders(tables, id, 100));
     expect([tick(tables, 110), tick(tables, 120)]).toEqual([[], ['order g1']]);
-    announceOrdered(tables, 'g1', 200, '', { models: [] });
+    announceWithOrders(tables, 'g1', 200, '', { models: [] });
     expect([tick(tables, 1_500), tick(tables, 1_600)]).toEqual([[], []]);
-    announceOrdered(tables, 'g1', 1_700, readWanted(tables));
+    announceWithOrders(tables, 'g1', 1_700, readDesiredDigest(tables));
     expect([tick(tables, 1_710), tick(tables, 1_720)]).toEqual([[], ['order g2']]);
   });
 
@@ -58,18 +58,18 @@
    */
   it('should order only a worker on which nothing runs any more', () => {
     const tables = makePool();
-    announceOrdered(tables, 'g1', 0, '', { hardware: 'fast' });
+    announceWithOrders(tables, 'g1', 0, '', { hardware: 'fast' });
     ask(tables, 'long', 'history', 10);
-    announceOrdered(tables, 'g2', 20);
+    announceWithOrders(tables, 'g2', 20);
     expect(tick(tables, 30)).toEqual([]);
-    expect(tables.workers.get('g1')?.turn).toBe('draining');
+    expect(tables.workers.get('g1')?.orderPhase).toBe('draining');
     ask(tables, 'next', 'history', 40);
     expect(tables.running.get('next')?.workerId).toBe('g2');
     expect(tick(tables, 50)).toEqual([]);
     finish(tables, 'long', 60);
-    announceOrdered(tables, 'g1', 70, '', { running: 2 });
+    announceWithOrders(tables, 'g1', 70, '', { running: 2 });
     expect(tick(tables, 80)).toEqual([]);
-    announceOrdered(tables, 'g1', 90);
+    announceWithOrders(tables, 'g1', 90);
     expect(tick(tables, 100)).toEqual(['order g1']);
   });
 
@@ -79,11 +79,11 @@
    */
   it('should put a worker back when it became the last one of its model', () => {
     const tables = makePool();
-    announceOrdered(tables, 'g1', 0);
+    announceWithOrders(tables, 'g1', 0);
     ask(tables, 'long', 'history', 10);
-    announceOrdered(tables, 'g2', 20);
+    announceWithOrders(tables, 'g2', 20);
     tick(tables, 30);
-    announceOrdered(tables, 'g2', 40, '', { state: 'leaving' });
+    announceWithOrders(tables, 'g2', 40, '', { state: 'leaving' });
     tick(tables, 50);
     ask(tables, 'next', 'door', 60);
     expect(tables.running.get('next')?.workerId).toBe('g1');
@@ -95,13 +95,13 @@
    */
   it('should wait out the owner before, where engines ignore the fencing number', () => {
     const [fenced, unfenced] = [makePool(5_000), makePool(5_000, false)];
-    [fenced, unfenced].forEach((tables) => ['g1', 'g2'].forEach((id) => announceOrdered(tables, id, 4_000)));
+    [fenced, unfenced].forEach((tables) => ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 4_000)));
     const order = (tables: ScheduleTables, now: number) => (
       [tick(tables, now), tick(tables, now + 1)]);
     expect(order(fenced, 5_000 + LOAD_MS - 2)).toEqual([[], []]);
     expect(order(fenced, 5_000 + LOAD_MS)).toEqual([[], ['order g1']]);
     expect(order(unfenced, 6_990)).toEqual([[], []]);
-    ['g1', 'g2'].forEach((id) => announceOrdered(unfenced, id, 6_995));
+    ['g1', 'g2'].forEach((id) => announceWithOrders(unfenced, id, 6_995));
     expect(order(unfenced, 7_000)).toEqual([[], ['order g1']]);
   });
 
@@ -111,15 +111,15 @@
    */
   it('should order nothing more once a server has seen a higher fencing number', () => {
     const tables = makePool();
-    ['g1', 'g2'].forEach((id) => announceOrdered(tables, id, 0));
+    ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 0));
     tick(tables, 10);
     expect(tick(tables, 20)).toEqual(['order g1']);
     handleScheduleEvent(tables, { kind: 'orderAnswered', result: 'outbid' }, 30);
-    ['g1', 'g2'].forEach((id) => announceOrdered(tables, id, 6_000));
+    ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 6_000));
     expect(tick(tables, 6_010)).toEqual([]);
     handleScheduleEvent(tables, { kind: 'membersChanged', entryIds: ['e1'] }, 6_020);
     expect(tick(tables, 7_000)).toEqual([]);
-    ['g1', 'g2'].forEach((id) => announceOrdered(tables, id, 8_000));
+    ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 8_000));
     expect(tick(tables, 8_030)).toEqual(['order g1']);
   });
 
@@ -130,17 +130,17 @@
    */
   it('should repeat what was lost and keep to the limit of the weight store', () => {
     const tables = makePool();
-    ['g1', 'g2'].forEach((id) => announceOrdered(tables, id, 0));
+    ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 0));
     tick(tables, 10);
     expect(tick(tables, 20)).toEqual(['order g1']);
-    announceOrdered(tables, 'g1', 3_000);
+    announceWithOrders(tables, 'g1', 3_000);
     expect([tick(tables, 5_010), tick(tables, 5_020)]).toEqual([[], ['order g1']]);
     handleScheduleEvent(tables, {
       kind: 'configure',
-      config: { ...makeSite('2'), limits: { ...config.limits, loadsPerMinute: 3 } },
+      config: { ...makeConfig('2'), limits: { ...config.limits, loadsPerMinute: 3 } },
     }, 5_030);
     expect(tick(tables, 10_030)).toEqual(['order g1']);
-    handleScheduleEvent(tables, { kind: 'configure', config: makeSite('3') }, 10_040);
+    handleScheduleEvent(tables, { kind: 'configure', config: makeConfig('3') }, 10_040);
     expect([tick(tables, 16_000), tick(tables, 30_030)]).toEqual([[], ['order g1']]);
   });
 });
--- a/tests/core/replica-plan.spec.ts
+++ b/tests/core/replica-plan.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { planReplicas } from '../../src/core/log/replicaPlan';
-import type { ReplicaSituation } from '../../src/core/log/replicaPlan';
+import type { ReplicaPlanInput } from '../../src/core/log/replicaPlan';
 import type { ReplicaSet } from '../../src/core/log/logTypes';
 import type { Replica } from '../../src/protocol/generated/beechlift';
 
@@ -8,20 +8,20 @@
 
 const [a, b, c] = ['a', 'b', 'c'].map((id) => makeReplica(id)) as [Replica, Replica, Replica];
 
-const makeSituation = (fields: Partial<ReplicaSituation>): ReplicaSituation => ({
+const makeInput = (fields: Partial<ReplicaPlanInput>): ReplicaPlanInput => ({
   ownId: 'a',
   replicas: { voters: [a, b, c], learners: [], leaving: [] },
   newcomers: [],
-  silent: new Set(),
+  unresponsive: new Set(),
   caughtUp: new Set(),
   voterCount: 3,
   ...fields,
 });
 
 /** Applies plans until none is due; all learners catch up at once. */
-const settle = (start: ReplicaSituation): ReplicaSet => {
+const settle = (start: ReplicaPlanInput): ReplicaSet => {
   const caughtUp = new Set(start.newcomers.map(({ id }) => id));
-  const run = (current: ReplicaSituation, left: number): ReplicaSet => {
+  const run = (current: ReplicaPlanInput, left: number): ReplicaSet => {
     const next = planReplicas(current);
     if (!next) return current.replicas;
     if (left === 0) throw new Error('the plan does not come to an end');
@@ -34,37 +34,37 @@
 
 describe('the replica set that heals itself', () => {
   it('should leave a whole site alone', () => {
-    expect(planReplicas(makeSituation({}))).toBeUndefined();
+    expect(planReplicas(makeInput({}))).toBeUndefined();
   });
 
   // A replica loses its disk right after it acknowledged a change and comes back empty at its old
   // address. Were its old birth kept, it would be a voter that has forgotten its vote.
   it('should put a new birth in the place of the one that its address had', () => {
-    const newborn = makeReplica('c2', 'c');
-    const replicas = settle(makeSituation({ newcomers: [newborn] }));
+    const replacement = makeReplica('c2', 'c');
+    const replicas = settle(makeInput({ newcomers: [replacement] }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a b c2', '']);
   });
 
   it('should not let a newcomer vote before it has caught up', () => {
-    const newborn = makeReplica('c2', 'c');
-    const replicas = { voters: [a, b, c], learners: [newborn], leaving: [] };
-    expect(planReplicas(makeSituation({ replicas, newcomers: [newborn] }))).toBeUndefined();
+    const replacement = makeReplica('c2', 'c');
+    const replicas = { voters: [a, b, c], learners: [replacement], leaving: [] };
+    expect(planReplicas(makeInput({ replicas, newcomers: [replacement] }))).toBeUndefined();
   });
 
   it('should put one at a new address in the place of one that fell silent', () => {
     const spare = makeReplica('d');
-    const replicas = settle(makeSituation({ newcomers: [spare], silent: new Set(['b']) }));
+    const replicas = settle(makeInput({ newcomers: [spare], unresponsive: new Set(['b']) }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a c d', '']);
   });
 
   it('should let one that is not needed stand by', () => {
-    const replicas = settle(makeSituation({ newcomers: [makeReplica('d')] }));
+    const replicas = settle(makeInput({ newcomers: [makeReplica('d')] }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a b c', 'd']);
   });
 
   it('should let go of one that stands by and fell silent', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d')], leaving: [] };
-    const next = planReplicas(makeSituation({ replicas, silent: new Set(['d']) }));
+    const next = planReplicas(makeInput({ replicas, unresponsive: new Set(['d']) }));
     expect(next?.learners).toEqual([]);
   });
 
@@ -72,8 +72,8 @@
   // three of four would have to answer, and no change would be accepted until it is back.
   it('should not let one that fell silent vote', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d'), makeReplica('e')], leaving: [] };
-    const next = planReplicas(makeSituation({
-      replicas, silent: new Set(['c', 'd']), caughtUp: new Set(['d', 'e']),
+    const next = planReplicas(makeInput({
+      replicas, unresponsive: new Set(['c', 'd']), caughtUp: new Set(['d', 'e']),
     }));
     expect(listIds(next?.voters ?? [])).toBe('a b c e');
   });
@@ -81,8 +81,8 @@
   // The one that stands by lost its disk too, and is back under a new birth.
   it('should not let a birth vote that another one at its address replaces', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d')], leaving: [] };
-    const start = makeSituation({
-      replicas, newcomers: [makeReplica('d2', 'd')], silent: new Set(['c']), caughtUp: new Set(['d']),
+    const start = makeInput({
+      replicas, newcomers: [makeReplica('d2', 'd')], unresponsive: new Set(['c']), caughtUp: new Set(['d']),
     });
     expect(listIds(planReplicas(start)?.voters ?? [])).toBe('a b c');
     const settled = settle(start);
@@ -90,12 +90,12 @@
   });
 
   it('should retire nobody while there is no successor', () => {
-    expect(planReplicas(makeSituation({ silent: new Set(['b', 'c']) }))).toBeUndefined();
+    expect(planReplicas(makeInput({ unresponsive: new Set(['b', 'c']) }))).toBeUndefined();
   });
 
   it('should never change more than one voter at a time', () => {
-    const start = makeSituation({ newcomers: [makeReplica('b2', 'b'), makeReplica('c2', 'c')] });
-    const run = (current: ReplicaSituation, left: number): void => {
+    const start = makeInput({ newcomers: [makeReplica('b2', 'b'), makeReplica('c2', 'c')] });
+    const run = (current: ReplicaPlanInput, left: number): void => {
       const next = planReplicas(current);
       if (!next || left === 0) return;
       const before = new Set(current.replicas.voters.map(({ id }) => id));
--- a/tests/core/restart-election.spec.ts
+++ b/tests/core/restart-election.spec.ts
@@ -51,11 +51,11 @@
    * helped the new one to power at once.
    */
   it('should wait for a lease that the process before may have acknowledged', () => {
-    const { electionMs } = DEFAULT_LOG_TIMINGS;
+    const { electionTimeoutMs: electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
     const state = makeReplica('c1', 20);
-    expect(tickUntilSends(state, 20, 2_000)).toBeGreaterThanOrEqual(electionMs);
-    expect(askPreVote(makeReplica('c2', 20), 'c1', electionMs - 1)).toBe(false);
-    expect(askPreVote(makeReplica('c2', 20), 'c1', electionMs + 1)).toBe(true);
+    expect(tickUntilSends(state, 20, 2_000)).toBeGreaterThanOrEqual(electionTimeoutMs);
+    expect(askPreVote(makeReplica('c2', 20), 'c1', electionTimeoutMs - 1)).toBe(false);
+    expect(askPreVote(makeReplica('c2', 20), 'c1', electionTimeoutMs + 1)).toBe(true);
   });
 
   /*
--- a/tests/core/schedule-tiers.spec.ts
+++ b/tests/core/schedule-tiers.spec.ts
@@ -146,7 +146,7 @@
     ask(tables, 'r1', 'door', 100);
     finish(tables, 'r1', 1_500);
     announce(tables, 'w1', 4, 2_000, { running: 1, loadAgeMs: 1_000 });
-    expect(tables.workers.get('w1')?.foreign).toBe(0);
+    expect(tables.workers.get('w1')?.externalRequests).toBe(0);
     announce(tables, 'w1', 4, 6_000, { running: 3, loadAgeMs: 1_000 });
     Array.from({ length: 4 }).forEach(
       (unused, position) => ask(tables, `d${position}`, 'door', 6_001),
--- a/tests/entry/leaving-announcements.spec.ts
+++ b/tests/entry/leaving-announcements.spec.ts
@@ -5,7 +5,7 @@
 import type { OrderSender } from '../../src/entry/choosing/orderSender';
 import { Scheduler } from '../../src/entry/choosing/scheduler';
 import { Configuration } from '../../src/entry/inForce/configuration';
-import { findOwner } from '../../src/core/membership/locate';
+import { findOwner } from '../../src/core/membership/entrySelection';
 import { checkManifest } from '../../src/manifest/checkManifest';
 import { computeDigest } from '../../src/manifest/manifestDelta';
 import { Announcement, AskRequest, HeartbeatReply } from '../../src/protocol/generated/beechlift';
