--- a/src/relay/admitRequest.ts
+++ b/src/relay/admitRequest.ts
@@ -3,7 +3,7 @@
 import { BeechliftError } from '../errors/beechliftError';
 import type { Route, RoutedAccount } from '../manifest/routing';
 import type { RelaySite } from './relaySite';
-import type { CallFacts } from './requestDialect';
+import type { RequestFacts } from './requestDialect';
 
 /** A request that may be sent, and what the routing says of it. */
 export interface AdmittedRequest {
@@ -17,18 +17,18 @@
 }
 
 /** Time after which a caller may ask an entry again that cannot serve at the moment. */
-const STALE_RETRY_MS = 500;
+const NO_LEASE_RETRY_MS = 500;
 
 const requireTable = (site: RelaySite): RouteTable => {
   if (site.table && site.isServing) return site.table;
   // Without a lease it is not known which routes and keys are in force: nothing is said of them.
-  throw new BeechliftError('configurationStale', 'this entry has no lease on the routing document', { retryAfterMs: STALE_RETRY_MS });
+  throw new BeechliftError('configurationStale', 'this entry has no lease on the routing document', { retryAfterMs: NO_LEASE_RETRY_MS });
 };
 
-const findCaller = (
+const findAccount = (
   table: RouteTable,
   route: Route,
-  facts: CallFacts,
+  facts: RequestFacts,
 ): RoutedAccount | undefined => {
   if (route.isPublic || !table.needsKeys) return undefined;
   const account = table.findAccount(facts.key);
@@ -37,7 +37,7 @@
 };
 
 /** What a request costs its account, in the account's unit. */
-export const computeCost = (account: RoutedAccount, { tokens }: CallFacts): number => {
+export const computeCost = (account: RoutedAccount, { tokens }: RequestFacts): number => {
   if (account.unit === 'requests') return 1;
   return tokens ? tokens.prompt + tokens.output : account.defaultTokens;
 };
@@ -46,7 +46,7 @@
 export const chargeAccount = (
   site: RelaySite,
   account: RoutedAccount | undefined,
-  facts: CallFacts,
+  facts: RequestFacts,
   now: number,
 ): void => {
   if (!account) return;
@@ -57,24 +57,24 @@
 /**
  * Decides whether a request may be sent, and to which service; throws the refusal otherwise.
  *
- * @param draw a number from 0 to below 1, by which a route with several targets is split
+ * @param randomValue a number from 0 to below 1, by which a route with several targets is split
  * @example
  * const admitted = admitRequest(site, facts, 'shop.example', '/orders/7', Math.random());
  */
 export const admitRequest = (
   site: RelaySite,
-  facts: CallFacts,
+  facts: RequestFacts,
   host: string,
   target: string,
-  draw: number,
+  randomValue: number,
 ): AdmittedRequest => {
   const table = requireTable(site);
   const route = table.findRoute(host, target);
   if (!route) throw new BeechliftError('unknownRoute', `no route covers host "${host.slice(0, 100)}" and this path`);
-  const account = findCaller(table, route, facts);
+  const account = findAccount(table, route, facts);
   return {
     route,
-    service: pickTarget(route.targets, draw),
+    service: pickTarget(route.targets, randomValue),
     account,
     rank: table.computeRank(route, account),
     version: table.routing.version,
--- a/src/relay/answerWriter.ts
+++ b/src/relay/answerWriter.ts
@@ -7,14 +7,14 @@
 import type { UpstreamHead } from './upstreamCall';
 
 const MS_PER_SECOND = 1_000;
-const NO_NAMES: ReadonlySet<string> = new Set();
+const NO_EXTRA_HEADERS: ReadonlySet<string> = new Set();
 /** Plain answers up to this size are held until they are whole. */
-const MAX_HELD_BYTES = 65_536;
+const MAX_BUFFERED_BYTES = 65_536;
 
 /** Statuses whose answers have no body, with or without a length (RFC 9110, section 6.4.1). */
-const EMPTY_STATUSES: readonly number[] = [204, 304];
+const BODILESS_STATUSES: readonly number[] = [204, 304];
 
-const isFramed = ({ status, headers }: UpstreamHead): boolean => EMPTY_STATUSES.includes(status)
+const isSelfDelimited = ({ status, headers }: UpstreamHead): boolean => BODILESS_STATUSES.includes(status)
   || findHeader(headers, 'content-length') !== undefined
   || findHeader(headers, 'transfer-encoding') !== undefined;
 
@@ -22,7 +22,7 @@
  * How an answer is passed on: as it comes; event by event, so that it may go on elsewhere; or held
  * until it is whole, so that one which breaks off can be asked for anew, or be told of.
  */
-export type AnswerFlow = 'direct' | 'framed' | 'held';
+export type AnswerMode = 'direct' | 'framed' | 'held';
 
 /**
  * Tells how the answers of a route are passed on.
@@ -30,7 +30,7 @@
  * @example
  * const writer = new AnswerWriter(response, pickFlow(route), readNow, isClosing);
  */
-export const pickFlow = ({ kind, isResumable }: Route): AnswerFlow => {
+export const pickAnswerMode = ({ kind, isResumable }: Route): AnswerMode => {
   if (kind !== 'stream') return 'held';
   return isResumable ? 'framed' : 'direct';
 };
@@ -47,7 +47,7 @@
   /** When the first and the last piece of the body were written, monotonic milliseconds. */
   firstAt = 0;
 
-  lastAt = 0;
+  lastChunkAt = 0;
 
   /** Status that a backend server answered with; 0 before. */
   statusCode = 0;
@@ -61,24 +61,24 @@
    * Whether the answer has no length of its own. It is passed on as it came, so that its end tells
    * the caller no more than it told us: framed anew, one that was cut short would look whole.
    */
-  private endsWithConnection = false;
+  private isCloseDelimited = false;
 
-  private heldHead: UpstreamHead | undefined;
+  private bufferedHead: UpstreamHead | undefined;
 
-  private held: Buffer[] = [];
+  private buffered: Buffer[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   private hasFailed = false;
 
   /** @param isClosing whether the caller is to send nothing more on its connection */
   constructor(
     private readonly response: ServerResponse,
-    private flow: AnswerFlow,
+    private mode: AnswerMode,
     private readonly readNow: () => number,
     private readonly isClosing: () => boolean,
   ) {
-    this.framer = flow === 'framed' ? new EventFramer() : undefined;
+    this.framer = mode === 'framed' ? new EventFramer() : undefined;
   }
 
   /** Whether the caller has the head of an answer. */
@@ -87,12 +87,12 @@
   }
 
   /** Whether what the caller has so far may be followed by the rest from another server. */
-  get canGoOn(): boolean {
+  get canResume(): boolean {
     return this.framer !== undefined;
   }
 
   /** Whether the caller has gone, or has its whole answer. */
-  get isOver(): boolean {
+  get isFinished(): boolean {
     return this.hasFailed || this.response.destroyed || this.response.writableEnded;
   }
 
@@ -105,42 +105,42 @@
   writeHead(head: UpstreamHead): void {
     if (this.hasBegun) return;
     this.statusCode = head.status;
-    if (this.flow === 'held') this.heldHead = head;
+    if (this.mode === 'held') this.bufferedHead = head;
     else this.sendHead(head);
   }
 
   private sendHead(head: UpstreamHead): void {
     this.response.sendDate = false;
-    this.endsWithConnection = !isFramed(head);
-    this.response.useChunkedEncodingByDefault = !this.endsWithConnection;
-    this.response.shouldKeepAlive &&= !this.endsWithConnection && !this.isClosing();
-    this.response.writeHead(head.status, dropHeaders(head.headers, NO_NAMES));
+    this.isCloseDelimited = !isSelfDelimited(head);
+    this.response.useChunkedEncodingByDefault = !this.isCloseDelimited;
+    this.response.shouldKeepAlive &&= !this.isCloseDelimited && !this.isClosing();
+    this.response.writeHead(head.status, dropHeaders(head.headers, NO_EXTRA_HEADERS));
     // The head of a stream is worth having before its first event.
-    if (this.flow !== 'held') this.response.flushHeaders();
+    if (this.mode !== 'held') this.response.flushHeaders();
   }
 
   /** Passes a piece on; false when the caller reads slower than it comes. */
   write(chunk: Buffer): boolean {
-    if (this.flow === 'held') return this.hold(chunk);
+    if (this.mode === 'held') return this.bufferChunk(chunk);
     const bytes = this.framer ? this.framer.push(chunk) : chunk;
     if (bytes.length === 0) return true;
-    this.lastAt = this.readNow();
-    if (this.pieces === 0) this.firstAt = this.lastAt;
-    this.pieces = this.framer ? this.framer.count : this.pieces + 1;
+    this.lastChunkAt = this.readNow();
+    if (this.pieces === 0) this.firstAt = this.lastChunkAt;
+    this.pieces = this.framer ? this.framer.eventCount : this.pieces + 1;
     return this.send(bytes);
   }
 
   /** Writes nothing after the final answer: past its end, that would end the process. */
   private send(bytes: Buffer): boolean {
-    return this.isOver || this.response.write(bytes);
+    return this.isFinished || this.response.write(bytes);
   }
 
   /** Forgets what the caller does not have yet, before another server is asked. */
-  dropUnsent(): void {
-    this.framer?.dropTorn();
-    this.held = [];
-    this.heldBytes = 0;
-    this.heldHead = undefined;
+  discardUnsent(): void {
+    this.framer?.discardPartial();
+    this.buffered = [];
+    this.bufferedBytes = 0;
+    this.bufferedHead = undefined;
   }
 
   /** Calls back once the caller reads again. */
@@ -150,25 +150,25 @@
 
   /** Ends an answer that is whole. */
   end(): void {
-    this.sendHeld();
-    const rest = this.framer?.takeRest();
+    this.flushBuffered();
+    const rest = this.framer?.takeRemainder();
     if (rest && rest.length > 0) this.send(rest);
     this.response.end();
   }
 
-  private hold(chunk: Buffer): boolean {
-    this.held.push(chunk);
-    this.heldBytes += chunk.length;
-    if (this.heldBytes <= MAX_HELD_BYTES) return true;
-    const isRoomy = this.sendHeld();
-    this.flow = 'direct';
-    return isRoomy;
+  private bufferChunk(chunk: Buffer): boolean {
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return true;
+    const canWriteMore = this.flushBuffered();
+    this.mode = 'direct';
+    return canWriteMore;
   }
 
-  private sendHeld(): boolean {
-    if (this.heldHead) this.sendHead(this.heldHead);
-    const bytes = Buffer.concat(this.held);
-    this.dropUnsent();
+  private flushBuffered(): boolean {
+    if (this.bufferedHead) this.sendHead(this.bufferedHead);
+    const bytes = Buffer.concat(this.buffered);
+    this.discardUnsent();
     return bytes.length === 0 || this.send(bytes);
   }
 
@@ -176,18 +176,18 @@
    * Ends an answer that cannot be completed. The connection is broken off, so that what came so far
    * does not look whole.
    */
-  breakOff(): void {
+  abort(): void {
     // An answer that ends with its connection looks whole unless the connection is reset.
-    if (this.endsWithConnection) this.response.socket?.resetAndDestroy();
+    if (this.isCloseDelimited) this.response.socket?.resetAndDestroy();
     this.response.destroy();
   }
 
   /** Answers with an error of our own; one that comes after a head breaks the answer off. */
   fail(error: BeechliftError): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.hasFailed = true;
     if (this.hasBegun) {
-      this.breakOff();
+      this.abort();
       return;
     }
     const body = JSON.stringify(error.buildBody());
--- a/src/relay/attemptVerdict.ts
+++ b/src/relay/attemptOutcome.ts
@@ -3,15 +3,15 @@
 import type { RoutedWorker } from '../core/routing/routedWorkers';
 import { isResting } from '../core/routing/workerRest';
 import type { AnswerWriter } from './answerWriter';
-import type { AttemptEnd, AttemptNotes } from './attemptNotes';
+import type { AttemptOutcome, AttemptTracker } from './attemptTracker';
 import type { AnswerFacts } from './requestDialect';
-import type { UpstreamEnd } from './upstreamCall';
+import type { UpstreamOutcome } from './upstreamCall';
 
 const OK = 200;
 const SERVER_ERROR = 500;
 
 /** An answer's head, beside the request that it is to answer. */
-export interface JudgedAnswer {
+export interface AnswerHead {
   readonly status: number;
   readonly answer: AnswerFacts;
   /** The caller's id of the request. */
@@ -21,7 +21,7 @@
 }
 
 /** A stream that goes on elsewhere can only go on with a success. */
-const judgeResumed = ({ status, hasBegun }: JudgedAnswer): AttemptEnd | undefined => {
+const checkResumedStatus = ({ status, hasBegun }: AnswerHead): AttemptOutcome | undefined => {
   if (!hasBegun || status === OK) return undefined;
   return { kind: 'failed', reason: `status ${status} in place of the rest of a stream` };
 };
@@ -29,30 +29,30 @@
 /**
  * Tells what is wrong with an answer's head; undefined for one that is passed on.
  *
- * @param holdRepeat whether the request is certain to be sent again where this answer is refused
+ * @param reserveRetry whether the request is certain to be sent again where this answer is refused
  * @example
  * const verdict = judgeAnswer(judged, () => rules.holdRepeat(deadlineAt));
  */
-export const judgeAnswer = (
-  judged: JudgedAnswer,
-  holdRepeat: () => boolean,
-): AttemptEnd | undefined => {
+export const checkAnswerHead = (
+  head: AnswerHead,
+  reserveRetry: () => boolean,
+): AttemptOutcome | undefined => {
   const {
     status, answer, requestId, hasBegun,
-  } = judged;
+  } = head;
   if (answer.isNotExecuted) return { kind: 'rejected', reason: `status ${status}, not executed` };
   if (answer.requestId !== requestId || answer.isEncoded) {
     return { kind: 'broken', reason: 'the answer belongs to another request' };
   }
-  if (status < SERVER_ERROR) return judgeResumed(judged);
-  const end: AttemptEnd = { kind: 'failed', reason: `status ${status}` };
-  return hasBegun || holdRepeat() ? end : undefined;
+  if (status < SERVER_ERROR) return checkResumedStatus(head);
+  const outcome: AttemptOutcome = { kind: 'failed', reason: `status ${status}` };
+  return hasBegun || reserveRetry() ? outcome : undefined;
 };
 
 /** An attempt whose call has ended. */
-export interface EndedAttempt {
+export interface FinishedAttempt {
   readonly worker: RoutedWorker;
-  readonly notes: AttemptNotes;
+  readonly tracker: AttemptTracker;
   readonly writer: AnswerWriter;
   /** Monotonic milliseconds. */
   readonly now: number;
@@ -61,34 +61,34 @@
 /**
  * Settles an attempt: ends an answer that is whole, and learns of the server from how it went.
  *
- * @param verdict what was wrong with the answer's head
+ * @param headOutcome what was wrong with the answer's head
  * @example
  * const settled = settleAttempt({ worker, notes, writer, now }, end, verdict);
  */
 export const settleAttempt = (
   {
-    worker, notes, writer, now,
-  }: EndedAttempt,
-  end: UpstreamEnd,
-  verdict: AttemptEnd | undefined,
-): AttemptEnd => {
-  if (verdict?.kind === 'rejected') {
+    worker, tracker: tracker, writer, now,
+  }: FinishedAttempt,
+  callOutcome: UpstreamOutcome,
+  headOutcome: AttemptOutcome | undefined,
+): AttemptOutcome => {
+  if (headOutcome?.kind === 'rejected') {
     // What the server asked for goes before a pause of our own.
     if (!isResting(worker.rest, now)) suspendWorker(worker, now);
-    return verdict;
+    return headOutcome;
   }
-  if (verdict?.kind === 'failed') {
-    notes.learn(true);
-    return verdict;
+  if (headOutcome?.kind === 'failed') {
+    tracker.recordAnswer(true);
+    return headOutcome;
   }
-  if (end.kind === 'whole') {
+  if (callOutcome.kind === 'whole') {
     noteReached(worker);
     writer.end();
-    notes.learn(writer.statusCode >= SERVER_ERROR);
+    tracker.recordAnswer(writer.statusCode >= SERVER_ERROR);
     return { kind: 'answered' };
   }
-  if (writer.isOver) return { kind: 'dropped', reason: 'its time was over, or its caller has gone' };
+  if (writer.isFinished) return { kind: 'dropped', reason: 'its time was over, or its caller has gone' };
   suspendWorker(worker, now);
-  notes.learnSilence();
-  return end.kind === 'unsent' ? end : verdict ?? end;
+  tracker.recordFailure();
+  return callOutcome.kind === 'unsent' ? callOutcome : headOutcome ?? callOutcome;
 };
--- a/src/relay/attemptNotes.ts
+++ b/src/relay/attemptTracker.ts
@@ -5,11 +5,11 @@
 import type { AnswerWriter } from './answerWriter';
 import type { PlaceClient } from './placeClient';
 import type { RelaySite } from './relaySite';
-import type { CallFacts } from './requestDialect';
+import type { RequestFacts } from './requestDialect';
 import type { PickedWorker } from './workerPicker';
 
 /** What came of one attempt. */
-export type AttemptEnd = | { readonly kind: 'answered' }
+export type AttemptOutcome = | { readonly kind: 'answered' }
   /** Nobody waits for it any more. */
   | { readonly kind: 'dropped'; readonly reason: string }
   /** The server did not run it, or no byte reached it. */
@@ -18,7 +18,7 @@
   | { readonly kind: 'broken' | 'failed'; readonly reason: string };
 
 /** What the leader hears of each end. */
-const PLACED_PHASES: Record<AttemptEnd['kind'], string> = {
+const PLACED_PHASES: Record<AttemptOutcome['kind'], string> = {
   answered: 'ended',
   dropped: 'dropped',
   failed: 'failed',
@@ -28,16 +28,16 @@
 };
 
 /** Events of a stream after which the pace of its server is learnt anew. */
-const PACE_PIECES = 8;
+const PACE_SAMPLE_CHUNKS = 8;
 
 /** What notes of an attempt are made from. */
-export interface AttemptNotesParts {
+export interface AttemptTrackerParts {
   readonly site: RelaySite;
   readonly placeClient: PlaceClient;
   readonly clock: Clock;
   readonly picked: PickedWorker;
   readonly writer: AnswerWriter;
-  readonly facts: CallFacts;
+  readonly facts: RequestFacts;
   readonly isStream: boolean;
 }
 
@@ -49,68 +49,68 @@
  * notes.noteHead();
  * notes.noteEnd('answered');
  */
-export class AttemptNotes {
+export class AttemptTracker {
   private readonly startedAt: number;
 
   /** Prompt tokens that the server was still to read when the request was sent there. */
-  private readonly pendingBefore: number;
+  private readonly pendingTokensBefore: number;
 
-  private isPending = true;
+  private isPrefillPending = true;
 
-  constructor(private readonly parts: AttemptNotesParts) {
+  constructor(private readonly parts: AttemptTrackerParts) {
     const { picked, clock } = parts;
     const { worker } = picked;
     this.startedAt = clock.now();
-    this.pendingBefore = worker.pendingTokens + worker.othersPendingTokens;
+    this.pendingTokensBefore = worker.pendingTokens + worker.othersPendingTokens;
     worker.inFlight += 1;
     if (picked.placeId !== '') worker.placed += 1;
     worker.pendingTokens += this.promptTokens;
   }
 
   /** The answer has begun. */
-  noteHead(): void {
-    if (!this.isPending) return;
-    this.isPending = false;
+  recordHead(): void {
+    if (!this.isPrefillPending) return;
+    this.isPrefillPending = false;
     this.parts.picked.worker.pendingTokens -= this.promptTokens;
   }
 
   /** A piece of the answer was passed on: the pace is learnt each time so many events have come. */
-  notePiece(): void {
+  recordChunk(): void {
     const { isStream, picked } = this.parts;
-    const { firstAt, lastAt, pieces } = this.parts.writer;
+    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
     if (!isStream || pieces === 0) return;
-    const isPaced = pieces % PACE_PIECES === 0;
-    const paceMs = isPaced ? (lastAt - firstAt) / (pieces - 1) : 0;
-    if (isPaced) learnPace(picked.worker, paceMs);
-    if (isPaced || pieces === 1) this.tell({ phase: 'running', ...NO_TIMES, paceMs });
+    const hasPaceSample = pieces % PACE_SAMPLE_CHUNKS === 0;
+    const paceMs = hasPaceSample ? (lastChunkAt - firstAt) / (pieces - 1) : 0;
+    if (hasPaceSample) learnPace(picked.worker, paceMs);
+    if (hasPaceSample || pieces === 1) this.report({ phase: 'running', ...NO_TIMES, paceMs });
   }
 
   /** The server has nothing of the request any more. */
-  noteOver(): void {
+  releaseWorker(): void {
     const { picked, site } = this.parts;
-    this.noteHead();
+    this.recordHead();
     picked.worker.inFlight -= 1;
     if (picked.epoch !== '' && picked.epoch === site.workersEpoch) picked.worker.placed -= 1;
   }
 
   /** Tells the leader how the attempt ended. */
-  noteEnd(kind: AttemptEnd['kind']): void {
-    const { firstAt, lastAt, pieces } = this.parts.writer;
+  reportOutcome(kind: AttemptOutcome['kind']): void {
+    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
     const isTimed = kind === 'answered' && pieces > 0;
-    this.tell({
+    this.report({
       phase: PLACED_PHASES[kind],
       paceMs: 0,
       firstEventMs: isTimed ? firstAt - this.startedAt : 0,
-      outputMs: isTimed ? lastAt - firstAt : 0,
+      outputMs: isTimed ? lastChunkAt - firstAt : 0,
     });
   }
 
   /** Learns from an answer that came. */
-  learn(failed: boolean): void {
+  recordAnswer(failed: boolean): void {
     const {
       site, clock, isStream, picked,
     } = this.parts;
-    const { firstAt, lastAt, pieces } = this.parts.writer;
+    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
     const { tokens } = this.parts.facts;
     const isTimed = isStream && tokens !== undefined && pieces > 0;
     const holdMs = clock.now() - this.startedAt;
@@ -118,15 +118,15 @@
       holdMs,
       paceMs: isStream ? 0 : holdMs,
       firstEvent: isTimed
-        ? { ms: firstAt - this.startedAt, tokens: tokens.prompt + this.pendingBefore }
+        ? { ms: firstAt - this.startedAt, tokens: tokens.prompt + this.pendingTokensBefore }
         : undefined,
-      output: isTimed ? { ms: lastAt - firstAt, tokens: tokens.expected } : undefined,
+      output: isTimed ? { ms: lastChunkAt - firstAt, tokens: tokens.expected } : undefined,
       failed,
     });
   }
 
   /** Learns that no answer came. */
-  learnSilence(): void {
+  recordFailure(): void {
     learnAnswer(this.parts.site.workers, this.parts.picked.worker, {
       holdMs: 0, paceMs: 0, firstEvent: undefined, output: undefined, failed: true,
     });
@@ -136,8 +136,8 @@
     return this.parts.facts.tokens?.prompt ?? 0;
   }
 
-  private tell(news: Omit<PlacedReport, 'placeId'>): void {
+  private report(update: Omit<PlacedReport, 'placeId'>): void {
     const { picked, placeClient } = this.parts;
-    if (picked.placeId !== '') placeClient.report({ placeId: picked.placeId, ...news });
+    if (picked.placeId !== '') placeClient.report({ placeId: picked.placeId, ...update });
   }
 }
--- a/src/relay/callerConnections.ts
+++ b/src/relay/callerConnections.ts
@@ -15,7 +15,7 @@
 };
 
 /** Answers what cannot be read as a request, and closes: nothing of it was passed on. */
-const answerUnreadable = (error: ReadError, socket: Socket): void => {
+const refuseUnreadable = (error: ReadError, socket: Socket): void => {
   if (!socket.writable || error.code === 'ECONNRESET') {
     socket.destroy();
     return;
@@ -25,7 +25,7 @@
 };
 
 /** Whether an answer is under way that the error does not concern. */
-const isUnderWay = ({ destroyed, req }: ServerResponse, { code }: ReadError): boolean => (
+const isInProgress = ({ destroyed, req }: ServerResponse, { code }: ReadError): boolean => (
   !destroyed && req.complete && code !== CALLER_ENDED
 );
 
@@ -41,19 +41,19 @@
  */
 export class CallerConnections {
   /** The newest request's response on each. */
-  private readonly newest = new WeakMap<Socket, ServerResponse>();
+  private readonly latestResponse = new WeakMap<Socket, ServerResponse>();
 
   /** Those that end, or are looked at once more before. */
   private readonly failed = new WeakSet<Socket>();
 
   /** Notes a request whose head has come. */
-  noteRequest(socket: Socket, response: ServerResponse): void {
-    this.newest.set(socket, response);
+  registerRequest(socket: Socket, response: ServerResponse): void {
+    this.latestResponse.set(socket, response);
   }
 
   /** Whether no request has come on a connection behind the one that a response answers. */
   isNewest(socket: Socket, response: ServerResponse): boolean {
-    return this.newest.get(socket) === response;
+    return this.latestResponse.get(socket) === response;
   }
 
   /** Closes a connection after its idle time, unless something has come on it. */
@@ -71,19 +71,19 @@
   handleError(error: ReadError, socket: Socket): void {
     if (this.failed.has(socket)) return;
     this.failed.add(socket);
-    this.settle(error, socket);
+    this.closeAfterError(error, socket);
   }
 
-  private settle(error: ReadError, socket: Socket): void {
-    const newest = this.newest.get(socket);
-    if (newest && isUnderWay(newest, error)) newest.once('close', () => this.settle(error, socket));
-    else if (error.code === HEAD_TIMEOUT) this.checkHead(error, socket, newest);
-    else answerUnreadable(error, socket);
+  private closeAfterError(error: ReadError, socket: Socket): void {
+    const latest = this.latestResponse.get(socket);
+    if (latest && isInProgress(latest, error)) latest.once('close', () => this.closeAfterError(error, socket));
+    else if (error.code === HEAD_TIMEOUT) this.checkHeadTimeout(error, socket, latest);
+    else refuseUnreadable(error, socket);
   }
 
-  private checkHead(error: ReadError, socket: Socket, known: ServerResponse | undefined): void {
+  private checkHeadTimeout(error: ReadError, socket: Socket, latest: ServerResponse | undefined): void {
     setImmediate(() => {
-      if (this.newest.get(socket) === known) answerUnreadable(error, socket);
+      if (this.latestResponse.get(socket) === latest) refuseUnreadable(error, socket);
       else this.failed.delete(socket);
     });
   }
--- a/src/relay/connectCheck.ts
+++ b/src/relay/connectionProbe.ts
@@ -1,16 +1,16 @@
 import { connect } from 'node:net';
 
 /** Longest wait for an answer, in milliseconds: one that does not come says nothing. */
-const ANSWER_MS = 300;
+const PROBE_TIMEOUT_MS = 300;
 
-const askRefused = (address: string): Promise<boolean> => new Promise((resolve) => {
+const probeRefusal = (address: string): Promise<boolean> => new Promise((resolve) => {
   const colon = address.lastIndexOf(':');
   const socket = connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) });
   const settle = (isRefused: boolean): void => {
     socket.destroy();
     resolve(isRefused);
   };
-  socket.setTimeout(ANSWER_MS, () => settle(false));
+  socket.setTimeout(PROBE_TIMEOUT_MS, () => settle(false));
   socket.once('connect', () => settle(false));
   socket.once('error', (error: NodeJS.ErrnoException) => settle(error.code === 'ECONNREFUSED'));
 });
@@ -22,15 +22,15 @@
  * @example
  * const hasEnded = await check.isRefused('10.0.0.9:8080');
  */
-export class ConnectCheck {
-  private readonly open = new Map<string, Promise<boolean>>();
+export class ConnectionProbe {
+  private readonly pending = new Map<string, Promise<boolean>>();
 
   /** Whether the address refuses connections; never rejects. */
   isRefused(address: string): Promise<boolean> {
-    const known = this.open.get(address);
+    const known = this.pending.get(address);
     if (known) return known;
-    const asked = askRefused(address).finally(() => this.open.delete(address));
-    this.open.set(address, asked);
-    return asked;
+    const probe = probeRefusal(address).finally(() => this.pending.delete(address));
+    this.pending.set(address, probe);
+    return probe;
   }
 }
--- a/src/relay/endAfterBody.ts
+++ b/src/relay/endAfterBody.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** Longest wait for the rest of a body that nobody reads, in milliseconds. */
-const REST_MS = 1_000;
+const REMAINING_BODY_TIMEOUT_MS = 1_000;
 
 /**
  * Ends an answer that closes its connection, once the rest of the request's body has come.
@@ -18,7 +18,7 @@
     response.end();
     return;
   }
-  const timer = setTimeout(() => response.end(), REST_MS);
+  const timer = setTimeout(() => response.end(), REMAINING_BODY_TIMEOUT_MS);
   const end = (): void => {
     clearTimeout(timer);
     response.end();
--- a/src/relay/eventFramer.ts
+++ b/src/relay/eventFramer.ts
@@ -18,37 +18,37 @@
   lastEventId = '';
 
   /** Whole events so far. */
-  count = 0;
+  eventCount = 0;
 
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** Adds bytes; returns the whole events that are there now. */
   push(chunk: Buffer): Buffer {
-    const bytes = this.rest.length > 0 ? Buffer.concat([this.rest, chunk]) : chunk;
+    const bytes = this.remainder.length > 0 ? Buffer.concat([this.remainder, chunk]) : chunk;
     const position = bytes.lastIndexOf(EVENT_END);
     const end = position < 0 ? 0 : position + EVENT_END.length;
-    this.rest = bytes.subarray(end);
-    const whole = bytes.subarray(0, end);
-    this.readEvents(whole);
-    return this.rest.length > MAX_BLOCK_BYTES ? Buffer.concat([whole, this.takeRest()]) : whole;
+    this.remainder = bytes.subarray(end);
+    const completeEvents = bytes.subarray(0, end);
+    this.readEvents(completeEvents);
+    return this.remainder.length > MAX_BLOCK_BYTES ? Buffer.concat([completeEvents, this.takeRemainder()]) : completeEvents;
   }
 
   /** What stands behind the last whole event, when the answer has ended as its server meant it. */
-  takeRest(): Buffer {
-    const { rest } = this;
-    this.rest = Buffer.alloc(0);
-    return rest;
+  takeRemainder(): Buffer {
+    const { remainder: remainder } = this;
+    this.remainder = Buffer.alloc(0);
+    return remainder;
   }
 
   /** Forgets what a server left behind that stopped in the middle of an event. */
-  dropTorn(): void {
-    this.rest = Buffer.alloc(0);
+  discardPartial(): void {
+    this.remainder = Buffer.alloc(0);
   }
 
-  private readEvents(whole: Buffer): void {
-    if (whole.length === 0) return;
-    const blocks = whole.toString('latin1').split(EVENT_END).filter((block) => block !== '');
-    this.count += blocks.length;
+  private readEvents(completeEvents: Buffer): void {
+    if (completeEvents.length === 0) return;
+    const blocks = completeEvents.toString('latin1').split(EVENT_END).filter((block) => block !== '');
+    this.eventCount += blocks.length;
     const id = blocks.findLast((block) => ID_LINE.test(block));
     if (id !== undefined) this.lastEventId = ID_LINE.exec(id)?.[1]?.trim() ?? this.lastEventId;
   }
--- a/src/relay/leaseWait.ts
+++ b/src/relay/leaseWait.ts
@@ -1,4 +1,4 @@
-import type { CallFacts } from './requestDialect';
+import type { RequestFacts } from './requestDialect';
 
 /**
  * How long a request waits for the entry's lease: a part of the time that its caller will wait, so
@@ -6,7 +6,7 @@
  * just started gets its lease within about a second, with the rest of a site that was killed: a
  * caller that waits is then answered, one that was refused uses up its only other try.
  */
-const LEASE_WAIT_PART = 1 / 8;
+const LEASE_WAIT_FRACTION = 1 / 8;
 /** Shortest and longest of these waits, in milliseconds. */
 const MIN_LEASE_WAIT_MS = 100;
 const MAX_LEASE_WAIT_MS = 1_500;
@@ -17,7 +17,7 @@
  * @example
  * await site.waitServing(computeLeaseWaitMs(facts));
  */
-export const computeLeaseWaitMs = ({ patienceMs }: CallFacts): number => Math.min(
+export const computeLeaseWaitMs = ({ patienceMs }: RequestFacts): number => Math.min(
   MAX_LEASE_WAIT_MS,
-  Math.max(MIN_LEASE_WAIT_MS, LEASE_WAIT_PART * (patienceMs ?? Infinity)),
+  Math.max(MIN_LEASE_WAIT_MS, LEASE_WAIT_FRACTION * (patienceMs ?? Infinity)),
 );
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -3,15 +3,15 @@
 import { BeechliftError } from '../errors/beechliftError';
 import type { AdmittedRequest } from './admitRequest';
 import type { RelaySite } from './relaySite';
-import type { CallFacts } from './requestDialect';
+import type { RequestFacts } from './requestDialect';
 import type { PickedWorker } from './workerPicker';
 
 /** Time after which a caller may ask another entry, in milliseconds. */
-const OTHER_ENTRY_MS = 50;
+const OTHER_ENTRY_RETRY_MS = 50;
 
 /** Makes the refusal of a request that this entry cannot answer before it ends. */
 export const makeLeavingError = (): BeechliftError => new BeechliftError('entryLeaving', 'this entry shuts down before the answer could end', {
-  retryAfterMs: OTHER_ENTRY_MS,
+  retryAfterMs: OTHER_ENTRY_RETRY_MS,
 });
 
 /**
@@ -24,13 +24,13 @@
 export const canAnswerInTime = (
   site: RelaySite,
   { service, route }: AdmittedRequest,
-  { tokens, patienceMs }: CallFacts,
+  { tokens, patienceMs }: RequestFacts,
   picked?: PickedWorker,
 ): boolean => {
   if (!site.isLeaving) return true;
-  const { leftMs } = site;
-  if (Math.min(route.timeoutMs, patienceMs ?? Infinity) <= leftMs) return true;
+  const { remainingMs: remainingMs } = site;
+  if (Math.min(route.timeoutMs, patienceMs ?? Infinity) <= remainingMs) return true;
   if (!tokens) return false;
   const size = { service, promptTokens: tokens.prompt, outputTokens: tokens.output };
-  return canEndWithin(site.workers, size, leftMs, picked?.worker);
+  return canEndWithin(site.workers, size, remainingMs, picked?.worker);
 };
--- a/src/relay/openRequests.ts
+++ b/src/relay/openRequests.ts
@@ -13,13 +13,13 @@
 }
 
 /** The connection that an answer goes out on. */
-interface AnswerPath {
+interface AnswerConnection {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
 }
 
 /** Resolves once an answer has been handed over to the network, or its connection has ended. */
-const waitWritten = ({ request: { socket }, response }: AnswerPath): Promise<void> => (
+const waitWritten = ({ request: { socket }, response }: AnswerConnection): Promise<void> => (
   response.writableFinished || response.destroyed || socket.destroyed
     ? Promise.resolve()
     : new Promise((resolve) => {
@@ -46,7 +46,7 @@
   private readonly idle = new HeldCalls();
 
   /** Requests that were taken so far. */
-  taken = 0;
+  acceptedCount = 0;
 
   constructor(private readonly metrics: Pick<RelayMetrics, 'open'>) {}
 
@@ -56,20 +56,20 @@
   }
 
   /** Serves a request, which is open until its answer is written. */
-  async serve(request: OpenRequest, path: AnswerPath): Promise<void> {
+  async serve(request: OpenRequest, connection: AnswerConnection): Promise<void> {
     this.open.add(request);
-    this.taken += 1;
+    this.acceptedCount += 1;
     this.metrics.open.inc();
     await request.run();
-    await waitWritten(path);
+    await waitWritten(connection);
     this.open.delete(request);
     this.metrics.open.dec();
     if (this.open.size === 0) this.idle.release();
   }
 
   /** Resolves when no request is open, after the time at the latest. */
-  waitIdle(mostMs: number): Promise<void> {
-    return this.open.size === 0 ? Promise.resolve() : this.idle.hold(Math.max(0, mostMs));
+  waitIdle(maxMs: number): Promise<void> {
+    return this.open.size === 0 ? Promise.resolve() : this.idle.hold(Math.max(0, maxMs));
   }
 
   /** Answers all that have no answer yet. */
@@ -78,7 +78,7 @@
   }
 
   /** Breaks off the answers that are under way. */
-  breakOffAll(): void {
+  abortAll(): void {
     [...this.open].forEach((request) => request.breakOff());
   }
 }
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -7,23 +7,23 @@
 import type { Clock } from '../utils/clock';
 import { TurnTask } from '../utils/turnTask';
 import type { ClientStream, RpcLink } from '../wire/rpcLink';
-import { CrashNotes } from './crashNotes';
-import type { SeenEnd } from './crashNotes';
+import { CrashRecords } from './crashRecords';
+import type { ServerCrash } from './crashRecords';
 
 /**
  * Silence of the leader after which an entry decides by itself, in milliseconds: the leader sends a
  * sign of life each 100 ms while requests wait, and requests have a target of 400 ms or more.
  */
-const SILENCE_MS = 250;
+const LEADER_SILENCE_MS = 250;
 /** How long an entry goes on deciding by itself, in milliseconds. */
-const SUSPECT_MS = 400;
+const SUSPENSION_MS = 400;
 /** Reports kept for one message; the oldest go, as the leader expires what it does not hear of. */
 const MAX_REPORTS = 2_000;
 /**
  * Longest that news of the beginning of a stream wait for a message that goes out anyway, in
  * milliseconds: by it the leader knows what a server still has to read.
  */
-const BEGUN_FLUSH_MS = 20;
+const STREAM_START_FLUSH_MS = 20;
 
 /** What the place client needs. */
 export interface PlaceClientParts {
@@ -38,22 +38,22 @@
 }
 
 /** A request whose decision has not come. */
-interface WaitingAsk {
+interface PendingPlacement {
   readonly request: PlaceRequest;
   readonly resolve: (reply: PlaceReply | undefined) => void;
 }
 
 /** The stream to one leader. */
-interface Line {
+interface LeaderStream {
   readonly link: RpcLink<SiteClient>;
   readonly stream: ClientStream<PlaceNews>;
   /** Number of the last message that was sent, and of the last that asked for places. */
-  sent: number;
-  asked: number;
+  lastSent: number;
+  lastAsked: number;
   /** Number of the last message that the leader is known to have taken in. */
-  acknowledged: number;
+  lastAcknowledged: number;
   /** Since when something is owed, monotonic milliseconds. */
-  owedSince: number;
+  replyDueSince: number;
 }
 
 /**
@@ -70,30 +70,30 @@
  * if (!reply) chooseHere();
  */
 export class PlaceClient {
-  private suspectUntil = -Infinity;
+  private suspendedUntil = -Infinity;
 
-  private readonly waiting = new Map<string, WaitingAsk>();
+  private readonly waiting = new Map<string, PendingPlacement>();
 
   /** Places that the leader has given and that are in use. */
-  private readonly held = new Set<string>();
+  private readonly activePlaces = new Set<string>();
 
   private requests: PlaceRequest[] = [];
 
   private reports: PlacedReport[] = [];
 
-  private readonly crashes = new CrashNotes();
+  private readonly crashes = new CrashRecords();
 
   /** Suspect requests that were served, which the leader has not heard of. */
   private served: string[] = [];
 
-  private line: Line | undefined;
+  private leaderStream: LeaderStream | undefined;
 
-  private readonly flushing = new TurnTask(() => this.flush());
+  private readonly flushTask = new TurnTask(() => this.flush());
 
-  private reportTimer: NodeJS.Timeout | undefined;
+  private flushTimer: NodeJS.Timeout | undefined;
 
   /** When the reports that wait go out, monotonic milliseconds. */
-  private reportAt = 0;
+  private flushAt = 0;
 
   private watchdog: NodeJS.Timeout | undefined;
 
@@ -106,42 +106,42 @@
     return new Promise((resolve) => {
       this.waiting.set(request.placeId, { request, resolve });
       this.requests.push(request);
-      this.flushing.schedule();
+      this.flushTask.schedule();
     });
   }
 
   /** Takes a request back that nobody waits for any more. */
   cancel(placeId: string): void {
-    const asked = this.waiting.get(placeId);
-    if (!asked) return;
+    const pending = this.waiting.get(placeId);
+    if (!pending) return;
     this.waiting.delete(placeId);
     this.report({ placeId, phase: 'dropped', ...NO_TIMES });
-    asked.resolve(undefined);
+    pending.resolve(undefined);
   }
 
   /** Tells how a placed request goes: at once when it has ended, as others wait for its slot. */
   report(report: PlacedReport): void {
-    if (report.phase !== 'running') this.held.delete(report.placeId);
+    if (report.phase !== 'running') this.activePlaces.delete(report.placeId);
     this.reports.push(report);
     if (this.reports.length > MAX_REPORTS) this.reports.shift();
-    if (report.phase !== 'running') this.flushing.schedule();
-    else if (report.paceMs === 0) this.flushWithin(BEGUN_FLUSH_MS);
-    else this.flushWithin(computePaceWaitMs(this.parts.countEntries()));
+    if (report.phase !== 'running') this.flushTask.schedule();
+    else if (report.paceMs === 0) this.scheduleFlush(STREAM_START_FLUSH_MS);
+    else this.scheduleFlush(computePaceWaitMs(this.parts.countEntries()));
   }
 
   /** Tells that a server ended under a request. */
-  reportEnd(end: SeenEnd): void {
-    this.crashes.add(end, this.parts.clock.now());
-    this.flushing.schedule();
+  reportCrash(crash: ServerCrash): void {
+    this.crashes.add(crash, this.parts.clock.now());
+    this.flushTask.schedule();
   }
 
   /** Whether servers ended here of late, under any request. */
-  get hasEnds(): boolean {
-    return this.crashes.hasEnds(this.parts.clock.now());
+  get hasCrashes(): boolean {
+    return this.crashes.hasCrashes(this.parts.clock.now());
   }
 
   /** Counts the servers that ended here of late under a request. */
-  countEnds(fingerprint: string): number {
+  countCrashes(fingerprint: string): number {
     return this.crashes.countServers(fingerprint, this.parts.clock.now());
   }
 
@@ -149,134 +149,134 @@
   reportServed(fingerprint: string): void {
     this.crashes.forget(fingerprint);
     this.served = [...this.served, fingerprint].slice(-MAX_REPORTS);
-    this.flushing.schedule();
+    this.flushTask.schedule();
   }
 
   /** Ends the stream. */
   close(): void {
-    this.dropLine();
-    this.giveUpWaiting();
+    this.closeStream();
+    this.resolveWaiting();
   }
 
   private canAsk(now: number): boolean {
-    return now >= this.suspectUntil && this.parts.findLeader() !== undefined;
+    return now >= this.suspendedUntil && this.parts.findLeader() !== undefined;
   }
 
-  private flushWithin(ms: number): void {
+  private scheduleFlush(ms: number): void {
     const at = this.parts.clock.now() + ms;
-    if (this.reportTimer && at >= this.reportAt) return;
-    clearTimeout(this.reportTimer);
-    this.reportAt = at;
-    this.reportTimer = setTimeout(() => this.flush(), ms);
+    if (this.flushTimer && at >= this.flushAt) return;
+    clearTimeout(this.flushTimer);
+    this.flushAt = at;
+    this.flushTimer = setTimeout(() => this.flush(), ms);
   }
 
   private flush(): void {
-    clearTimeout(this.reportTimer);
-    this.reportTimer = undefined;
+    clearTimeout(this.flushTimer);
+    this.flushTimer = undefined;
     const link = this.parts.findLeader();
     const now = this.parts.clock.now();
-    if (!link || now < this.suspectUntil) {
-      this.giveUpWaiting();
+    if (!link || now < this.suspendedUntil) {
+      this.resolveWaiting();
       return;
     }
-    const line = this.findLine(link);
+    const leaderStream = this.findStream(link);
     const { requests, reports, served } = this;
     const isEmpty = requests.length + reports.length + served.length === 0;
-    if (isEmpty && !this.crashes.hasUntold) return;
+    if (isEmpty && !this.crashes.hasUnreported) return;
     this.requests = [];
     this.reports = [];
     this.served = [];
-    const isFirst = line.sent === 0;
-    if (!this.isOwed(line)) line.owedSince = now;
-    line.sent += 1;
-    if (requests.length > 0) line.asked = line.sent;
-    line.stream.write({
-      number: line.sent,
+    const isFirst = leaderStream.lastSent === 0;
+    if (!this.isReplyDue(leaderStream)) leaderStream.replyDueSince = now;
+    leaderStream.lastSent += 1;
+    if (requests.length > 0) leaderStream.lastAsked = leaderStream.lastSent;
+    leaderStream.stream.write({
+      number: leaderStream.lastSent,
       requests,
       reports,
       entryId: isFirst ? this.parts.entryId : '',
-      held: isFirst ? [...this.held] : [],
-      sightings: this.crashes.takeUntold(now),
+      held: isFirst ? [...this.activePlaces] : [],
+      sightings: this.crashes.takeUnreported(now),
       served,
     });
-    this.watch();
+    this.startWatchdog();
   }
 
   /** The stream to the leader; another leader knows nothing of what the one before was asked. */
-  private findLine(link: RpcLink<SiteClient>): Line {
-    if (this.line?.link === link) return this.line;
-    this.dropLine();
-    this.crashes.markUntold();
+  private findStream(link: RpcLink<SiteClient>): LeaderStream {
+    if (this.leaderStream?.link === link) return this.leaderStream;
+    this.closeStream();
+    this.crashes.markUnreported();
     this.requests = [...this.waiting.values()].map(({ request }) => request);
     const stream = link.openStream<PlaceNews, PlaceDecisions>((stub) => stub.place.bind(stub), {
       take: (decisions) => {
-        if (this.line?.stream === stream) this.takeDecisions(decisions);
+        if (this.leaderStream?.stream === stream) this.takeDecisions(decisions);
       },
       close: (error) => {
-        if (this.line?.stream === stream) this.suspendLeader(error?.message ?? 'it ended the stream');
+        if (this.leaderStream?.stream === stream) this.suspendLeader(error?.message ?? 'it ended the stream');
       },
     });
-    this.line = {
-      link, stream, sent: 0, asked: 0, acknowledged: 0, owedSince: this.parts.clock.now(),
+    this.leaderStream = {
+      link, stream, lastSent: 0, lastAsked: 0, lastAcknowledged: 0, replyDueSince: this.parts.clock.now(),
     };
-    return this.line;
+    return this.leaderStream;
   }
 
   private takeDecisions({ acknowledged, replies }: PlaceDecisions): void {
-    if (!this.line) return;
-    this.line.acknowledged = acknowledged;
-    this.line.owedSince = this.parts.clock.now();
+    if (!this.leaderStream) return;
+    this.leaderStream.lastAcknowledged = acknowledged;
+    this.leaderStream.replyDueSince = this.parts.clock.now();
     replies.forEach((reply) => this.settle(reply));
   }
 
   private settle(reply: PlaceReply): void {
-    const asked = this.waiting.get(reply.placeId);
+    const pending = this.waiting.get(reply.placeId);
     this.waiting.delete(reply.placeId);
-    if (reply.code === 0) this.held.add(reply.placeId);
-    if (asked) asked.resolve(reply);
+    if (reply.code === 0) this.activePlaces.add(reply.placeId);
+    if (pending) pending.resolve(reply);
     // Guards a slot that was given to a request which had chosen by itself meanwhile.
     else if (reply.code === 0) this.report({ placeId: reply.placeId, phase: 'dropped', ...NO_TIMES });
   }
 
   /** Whether the leader has something to say: what only tells it something it does not answer. */
-  private isOwed(line: Line): boolean {
-    return line.acknowledged < line.asked || this.waiting.size > 0;
+  private isReplyDue(leaderStream: LeaderStream): boolean {
+    return leaderStream.lastAcknowledged < leaderStream.lastAsked || this.waiting.size > 0;
   }
 
   /** Looks after the leader while it owes an answer. */
-  private watch(): void {
+  private startWatchdog(): void {
     this.watchdog ??= setTimeout(() => {
       this.watchdog = undefined;
       // What came while this process was busy is read first: it is no silence of the leader.
       setImmediate(() => this.checkSilence());
-    }, SILENCE_MS / 2);
+    }, LEADER_SILENCE_MS / 2);
   }
 
   private checkSilence(): void {
-    const { line } = this;
-    if (!line || !this.isOwed(line)) return;
-    const silentMs = this.parts.clock.now() - line.owedSince;
-    if (silentMs < SILENCE_MS) {
-      this.watch();
+    const { leaderStream: leaderStream } = this;
+    if (!leaderStream || !this.isReplyDue(leaderStream)) return;
+    const silentMs = this.parts.clock.now() - leaderStream.replyDueSince;
+    if (silentMs < LEADER_SILENCE_MS) {
+      this.startWatchdog();
       return;
     }
-    line.stream.suspect();
+    leaderStream.stream.suspect();
     this.suspendLeader(`silent for ${Math.round(silentMs)} ms`);
   }
 
   private suspendLeader(reason: string): void {
     this.parts.logger.warn('requests are placed here: the leader is out of reach', { reason });
-    this.suspectUntil = this.parts.clock.now() + SUSPECT_MS;
-    this.dropLine();
-    this.giveUpWaiting();
+    this.suspendedUntil = this.parts.clock.now() + SUSPENSION_MS;
+    this.closeStream();
+    this.resolveWaiting();
   }
 
-  private dropLine(): void {
-    this.line?.stream.cancel();
-    this.line = undefined;
+  private closeStream(): void {
+    this.leaderStream?.stream.cancel();
+    this.leaderStream = undefined;
   }
 
-  private giveUpWaiting(): void {
+  private resolveWaiting(): void {
     const all = [...this.waiting.values()];
     this.waiting.clear();
     this.requests = [];
--- a/src/relay/rawHeaders.ts
+++ b/src/relay/rawHeaders.ts
@@ -24,23 +24,23 @@
   return position < 0 ? undefined : headers[position + 1];
 };
 
-const listNamedByConnection = (headers: RawHeaders): string[] => (
+const listConnectionOptions = (headers: RawHeaders): string[] => (
   (findHeader(headers, 'connection') ?? '').toLowerCase().split(',').map((name) => name.trim())
 );
 
 /**
  * Leaves out the headers that concern one connection, and others by name.
  *
- * @param without names in lower case
+ * @param excluded names in lower case
  * @example
  * const passed = dropHeaders(request.rawHeaders, new Set(['authorization']));
  */
-export const dropHeaders = (headers: RawHeaders, without: ReadonlySet<string>): string[] => {
-  const named = new Set(listNamedByConnection(headers));
+export const dropHeaders = (headers: RawHeaders, excluded: ReadonlySet<string>): string[] => {
+  const connectionOptions = new Set(listConnectionOptions(headers));
   return listPairs(headers)
     .filter(([name]) => {
       const lower = name.toLowerCase();
-      return !CONNECTION_HEADERS.has(lower) && !named.has(lower) && !without.has(lower);
+      return !CONNECTION_HEADERS.has(lower) && !connectionOptions.has(lower) && !excluded.has(lower);
     })
     .flat();
 };
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -51,15 +51,15 @@
 }
 
 /** How often idle connections to servers that left are closed, and limits are put in force. */
-const TEND_MS = 500;
+const REFRESH_INTERVAL_MS = 500;
 
-const tend = (site: RelaySite, app: FastifyInstance, connections: WorkerConnections): void => {
+const refreshLimitsAndConnections = (site: RelaySite, app: FastifyInstance, connections: WorkerConnections): void => {
   const limits = site.table?.routing.limits;
   if (limits) applyCallerLimits(app, limits);
   const addresses = [...site.workers.byId.values()]
     .filter(({ standing }) => standing !== 'gone')
     .map(({ address }) => address);
-  connections.keep(new Set(addresses));
+  connections.closeExcept(new Set(addresses));
 };
 
 /**
@@ -110,12 +110,12 @@
     openRequests,
   });
   watch.start();
-  const tending = setInterval(() => tend(site, app, connections), TEND_MS);
+  const refreshTimer = setInterval(() => refreshLimitsAndConnections(site, app, connections), REFRESH_INTERVAL_MS);
   const shutdown = new RelayShutdown({
     site,
     server: app.server,
     openRequests,
-    tellLeaving: () => watch.tell(),
+    announceLeaving: () => watch.sendState(),
     locateMs: settings.locateMs,
     graceMs: settings.graceMs,
     clock: systemClock,
@@ -123,7 +123,7 @@
   });
   const close = async (): Promise<void> => {
     await shutdown.run();
-    clearInterval(tending);
+    clearInterval(refreshTimer);
     placeClient.close();
     watch.stop();
     connections.close();
--- a/src/relay/relayServer.ts
+++ b/src/relay/relayServer.ts
@@ -11,10 +11,10 @@
 /** Largest head that is read at all; the routing document bounds it further. */
 const MAX_HEAD_BYTES = 65_536;
 /** Until a document says otherwise. */
-const FIRST_IDLE_MS = 15_000;
-const FIRST_HEAD_MS = 3_000;
+const DEFAULT_IDLE_MS = 15_000;
+const DEFAULT_HEAD_TIMEOUT_MS = 3_000;
 /** How often connections are looked at whose heads take too long. */
-const CHECK_MS = 1_000;
+const HEAD_CHECK_INTERVAL_MS = 1_000;
 const BAD_REQUEST = 400;
 const HEAD_TOO_LARGE = 431;
 const HOST = 'host';
@@ -32,8 +32,8 @@
     index % 2 === 0 && text.length === HOST.length && text.toLowerCase() === HOST)).length > 1
 );
 
-const judgeHead = (request: IncomingMessage, mostBytes: number): number | undefined => {
-  if (measureHead(request) > mostBytes) return HEAD_TOO_LARGE;
+const checkHead = (request: IncomingMessage, maxBytes: number): number | undefined => {
+  if (measureHead(request) > maxBytes) return HEAD_TOO_LARGE;
   return hasManyHosts(request) ? BAD_REQUEST : undefined;
 };
 
@@ -47,18 +47,18 @@
  */
 export const makeRelayServer = (parts: RequestParts): FastifyInstance => {
   const targets = new WeakMap<IncomingMessage, string>();
-  const callers = new CallerConnections();
+  const callerConnections = new CallerConnections();
   const app = Fastify({
     ...NO_SCHEMAS,
-    keepAliveTimeout: FIRST_IDLE_MS,
+    keepAliveTimeout: DEFAULT_IDLE_MS,
     connectionTimeout: 0,
     requestTimeout: 0,
     http: {
       maxHeaderSize: MAX_HEAD_BYTES,
-      headersTimeout: FIRST_HEAD_MS,
-      connectionsCheckingInterval: CHECK_MS,
+      headersTimeout: DEFAULT_HEAD_TIMEOUT_MS,
+      connectionsCheckingInterval: HEAD_CHECK_INTERVAL_MS,
     },
-    clientErrorHandler: (error, socket) => callers.handleError(error, socket),
+    clientErrorHandler: (error, socket) => callerConnections.handleError(error, socket),
     forceCloseConnections: 'idle',
     // A request on a connection that outlasts the port is answered like any other.
     return503OnClosing: false,
@@ -68,8 +68,8 @@
       return '/';
     },
   });
-  app.server.on('request', ({ socket }, response) => callers.noteRequest(socket, response));
-  app.server.on('timeout', (socket) => callers.closeIdle(socket));
+  app.server.on('request', ({ socket }, response) => callerConnections.registerRequest(socket, response));
+  app.server.on('timeout', (socket) => callerConnections.closeIdle(socket));
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', (request, payload, done) => done(null, payload));
   app.addHook('onRequest', async (request, reply) => {
@@ -81,14 +81,14 @@
       return;
     }
     const target = targets.get(raw) ?? '/';
-    const most = parts.site.table?.routing.limits.headerBytes ?? MAX_HEAD_BYTES;
-    const status = judgeHead(raw, most);
+    const maxHeadBytes = parts.site.table?.routing.limits.headerBytes ?? MAX_HEAD_BYTES;
+    const status = checkHead(raw, maxHeadBytes);
     if (status !== undefined) {
       reply.raw.writeHead(status, { connection: 'close', 'content-length': 0 }).flushHeaders();
       endAfterBody(raw, reply.raw);
       return;
     }
-    const isNewest = (): boolean => callers.isNewest(raw.socket, reply.raw);
+    const isNewest = (): boolean => callerConnections.isNewest(raw.socket, reply.raw);
     const routed = new RoutedRequest(parts, raw, reply.raw, target, isNewest);
     await parts.openRequests.serve(routed, { request: raw, response: reply.raw });
   });
--- a/src/relay/relayShutdown.ts
+++ b/src/relay/relayShutdown.ts
@@ -7,13 +7,13 @@
 import type { RelaySite } from './relaySite';
 
 /** Part of the grace after which callers that were told of this entry are taken no more. */
-const LOCATE_PART = 0.5;
+const LOCATE_FRACTION = 0.5;
 /** Part of the grace after which requests without the beginning of an answer are given up. */
-const ANSWER_PART = 0.9;
+const ANSWER_FRACTION = 0.9;
 /** Part of the grace after which streams are broken off; the rest is for the process to end. */
-const STREAM_PART = 0.95;
+const STREAM_FRACTION = 0.95;
 /** How long no request must come before the connections that callers keep are closed. */
-const QUIET_MS = 200;
+const QUIET_PERIOD_MS = 200;
 
 /** What a shutdown needs. */
 export interface RelayShutdownParts {
@@ -22,7 +22,7 @@
   readonly server: Server;
   readonly openRequests: OpenRequests;
   /** Tells the leader of control that this entry leaves. */
-  readonly tellLeaving: () => Promise<void>;
+  readonly announceLeaving: () => Promise<void>;
   /** How long callers may use an answer to where they should connect, in milliseconds. */
   readonly locateMs: number;
   /** How long the shutdown may take, in milliseconds. */
@@ -45,24 +45,24 @@
   /** Resolves when no request is open. */
   async run(): Promise<void> {
     const {
-      site, server, openRequests, tellLeaving, locateMs, graceMs, clock, logger,
+      site, server, openRequests, announceLeaving: announceLeaving, locateMs, graceMs, clock, logger,
     } = this.parts;
     const startedAt = clock.now();
-    const readLeftMs = (part: number): number => startedAt + part * graceMs - clock.now();
-    site.beginLeaving(startedAt + ANSWER_PART * graceMs);
+    const readRemainingMs = (fraction: number): number => startedAt + fraction * graceMs - clock.now();
+    site.beginLeaving(startedAt + ANSWER_FRACTION * graceMs);
     logger.info('entry leaves', { graceMs });
-    await tellLeaving().catch((error: unknown) => logger.error('the leader was not told', { reason: String(error) }));
-    await pause(Math.max(0, Math.min(locateMs, readLeftMs(LOCATE_PART))));
+    await announceLeaving().catch((error: unknown) => logger.error('the leader was not told', { reason: String(error) }));
+    await pause(Math.max(0, Math.min(locateMs, readRemainingMs(LOCATE_FRACTION))));
     // The server's own close would destroy connections whose answers are ended, but not written.
     NetServer.prototype.close.call(server);
-    await this.waitQuiet(() => readLeftMs(ANSWER_PART));
+    await this.waitQuiet(() => readRemainingMs(ANSWER_FRACTION));
     // Those that are open now are given up as the grace runs out.
     logger.info('entry closes its connections', { tookMs: Math.round(clock.now() - startedAt), open: openRequests.count });
     openRequests.endAll();
-    await openRequests.waitIdle(readLeftMs(STREAM_PART));
+    await openRequests.waitIdle(readRemainingMs(STREAM_FRACTION));
     // Requests that came meanwhile are told as well.
     openRequests.endAll();
-    openRequests.breakOffAll();
+    openRequests.abortAll();
     server.closeAllConnections();
   }
 
@@ -71,14 +71,14 @@
    * answered rather than met by the close. What came while this process was held up is read first,
    * as timers run before sockets.
    */
-  private async waitQuiet(readLeftMs: () => number): Promise<void> {
+  private async waitQuiet(readRemainingMs: () => number): Promise<void> {
     const { openRequests } = this.parts;
-    await openRequests.waitIdle(readLeftMs());
-    const { taken } = openRequests;
-    await pause(Math.max(0, Math.min(QUIET_MS, readLeftMs())));
+    await openRequests.waitIdle(readRemainingMs());
+    const { acceptedCount: acceptedCount } = openRequests;
+    await pause(Math.max(0, Math.min(QUIET_PERIOD_MS, readRemainingMs())));
     await readWaiting();
     // One that came in the turn in which the last one ended is open, and was counted before.
-    const isQuiet = openRequests.count === 0 && openRequests.taken === taken;
-    if (!isQuiet && readLeftMs() > 0) await this.waitQuiet(readLeftMs);
+    const isQuiet = openRequests.count === 0 && openRequests.acceptedCount === acceptedCount;
+    if (!isQuiet && readRemainingMs() > 0) await this.waitQuiet(readRemainingMs);
   }
 }
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -21,7 +21,7 @@
 export type RelayState = 'starting' | 'active' | 'leaving';
 
 /** Requests that wait for a lease, at most: beyond it they are refused at once. */
-const MAX_WAITERS = 500;
+const MAX_LEASE_WAITERS = 500;
 
 /** What a relay site is made from. */
 export interface RelaySiteParts {
@@ -64,7 +64,7 @@
   /** When this entry ends, monotonic milliseconds. */
   private endsAt = Infinity;
 
-  private digest = '';
+  private documentDigest = '';
 
   /** The leader's table of backend servers that is held here. */
   workersEpoch = '';
@@ -74,13 +74,13 @@
   private leaseUntil = 0;
 
   /** When the last question left that was answered, monotonic milliseconds. */
-  private answeredAt = 0;
+  private lastAnsweredSentAt = 0;
 
   private leaseEpoch = -1;
 
-  private leasedEntries = 1;
+  private leasedEntryCount = 1;
 
-  private readonly waiters = new HeldCalls();
+  private readonly leaseWaiters = new HeldCalls();
 
   constructor(private readonly parts: RelaySiteParts) {
     this.workers = makeRoutedWorkers(parts.mechanisms);
@@ -111,9 +111,9 @@
    * @example
    * await site.waitServing(300);
    */
-  waitServing(mostMs: number): Promise<void> {
-    if (this.isServing || this.waiters.size >= MAX_WAITERS) return Promise.resolve();
-    return this.waiters.hold(mostMs);
+  waitServing(maxMs: number): Promise<void> {
+    if (this.isServing || this.leaseWaiters.size >= MAX_LEASE_WAITERS) return Promise.resolve();
+    return this.leaseWaiters.hold(maxMs);
   }
 
   /** Whether this entry shuts down: callers are sent elsewhere. */
@@ -122,7 +122,7 @@
   }
 
   /** Milliseconds that are left for answers; Infinity unless this entry shuts down. */
-  get leftMs(): number {
+  get remainingMs(): number {
     return this.endsAt - this.parts.clock.now();
   }
 
@@ -152,16 +152,16 @@
 
   /** Entries that hold a lease, this one included. */
   get entryCount(): number {
-    return this.leasedEntries;
+    return this.leasedEntryCount;
   }
 
   /** How long the leader may hold a question of this entry, in milliseconds. */
-  get questionHoldMs(): number {
+  get watchHoldMs(): number {
     return Math.round(computeHoldMs(this.entryCount));
   }
 
   /** What the leader of control is asked with. */
-  buildRequest(holdMs: number): WatchRequest {
+  buildWatchRequest(holdMs: number): WatchRequest {
     const {
       entryId, callerAddress, zone, clock,
     } = this.parts;
@@ -170,7 +170,7 @@
       callerAddress,
       zone,
       state: this.state,
-      documentDigest: this.digest,
+      documentDigest: this.documentDigest,
       workersEpoch: this.workersEpoch,
       workersRevision: this.workersRevision,
       holdMs,
@@ -191,22 +191,22 @@
    */
   applyReply(reply: WatchReply, sentAt: number, epoch: number): void {
     if (!this.applyDocument(reply)) return;
-    this.answeredAt = Math.max(this.answeredAt, sentAt);
+    this.lastAnsweredSentAt = Math.max(this.lastAnsweredSentAt, sentAt);
     this.applyWorkers(reply);
-    this.leasedEntries = Math.max(1, reply.entryCount);
+    this.leasedEntryCount = Math.max(1, reply.entryCount);
     setConnectionShares(this.workers, this.table?.routing.services ?? [], this.entryCount);
     this.budget.applyGrants(reply.grants, this.parts.clock.now());
     if (reply.documentVersion === 0) return;
     this.leaseUntil = Math.max(this.leaseUntil, sentAt + reply.leaseMs);
     this.leaseEpoch = epoch;
-    this.waiters.release();
+    this.leaseWaiters.release();
   }
 
   private applyDocument(reply: WatchReply): boolean {
-    const inForce = this.table?.routing.version ?? 0;
+    const currentVersion = this.table?.routing.version ?? 0;
     // Guards against a reply that was overtaken: versions only go up.
-    if (reply.documentVersion < inForce) return false;
-    if (reply.documentDigest === this.digest) return true;
+    if (reply.documentVersion < currentVersion) return false;
+    if (reply.documentDigest === this.documentDigest) return true;
     const document = this.unpackDocument(reply);
     if (document === '') return false;
     const { routing, faults } = this.parts.readRouting(document);
@@ -215,12 +215,12 @@
       return false;
     }
     this.table = new RouteTable(routing);
-    this.digest = reply.documentDigest;
+    this.documentDigest = reply.documentDigest;
     this.parts.logger.info('document in force', {
       version: routing.version,
       routes: routing.routes.length,
       // Long where answers came late; short where they came without the document.
-      unansweredMs: Math.round(this.parts.clock.now() - this.answeredAt),
+      unansweredMs: Math.round(this.parts.clock.now() - this.lastAnsweredSentAt),
     });
     return true;
   }
--- a/src/relay/requestDialect.ts
+++ b/src/relay/requestDialect.ts
@@ -4,7 +4,7 @@
 export type RawHeaders = readonly string[];
 
 /** Tokens of a request. */
-export interface CallTokens {
+export interface RequestTokens {
   readonly prompt: number;
   /** Most tokens of the answer. */
   readonly output: number;
@@ -13,7 +13,7 @@
 }
 
 /** What the headers of a request tell. */
-export interface CallFacts {
+export interface RequestFacts {
   /** The caller's own id of this attempt; empty when it gave none. */
   readonly requestId: string;
   /** Milliseconds that the caller will wait; undefined when it did not tell. */
@@ -21,7 +21,7 @@
   /** The key that the caller holds; empty when it sent none. */
   readonly key: string;
   /** Undefined when they were not told. */
-  readonly tokens: CallTokens | undefined;
+  readonly tokens: RequestTokens | undefined;
 }
 
 /** What the headers of an answer tell. */
@@ -39,7 +39,7 @@
 }
 
 /** What the entry adds to a request that it passes on. */
-export interface PassedOn {
+export interface ForwardedContext {
   readonly workerId: string;
   readonly account: RoutedAccount | undefined;
   readonly remainingMs: number;
@@ -52,8 +52,8 @@
  * whole process; it is the only place that knows their names.
  */
 export interface RequestDialect {
-  readonly readCall: (headers: RawHeaders) => CallFacts;
+  readonly readRequest: (headers: RawHeaders) => RequestFacts;
   readonly readAnswer: (headers: RawHeaders) => AnswerFacts;
   /** Headers for the backend server: the caller's, less those of one connection and our own. */
-  readonly buildRequestHeaders: (headers: RawHeaders, passedOn: PassedOn) => string[];
+  readonly buildRequestHeaders: (headers: RawHeaders, forwarded: ForwardedContext) => string[];
 }
--- a/src/relay/serverMove.ts
+++ b/src/relay/requestFailover.ts
@@ -4,7 +4,7 @@
 import type { PickedWorker } from './workerPicker';
 
 /** Silence of a server, in target latencies, after which it is taken for unwell. */
-const SILENCE_IN_TARGETS = 2.5;
+const SILENCE_TARGET_FACTOR = 2.5;
 /** Shortest silence that says anything, in milliseconds. */
 const MIN_SILENCE_MS = 250;
 
@@ -15,23 +15,23 @@
  * setTimeout(() => noteSilence(call), computeSilenceMs(route));
  */
 export const computeSilenceMs = ({ targetLatencyMs }: Route): number => (
-  Math.max(MIN_SILENCE_MS, SILENCE_IN_TARGETS * targetLatencyMs));
+  Math.max(MIN_SILENCE_MS, SILENCE_TARGET_FACTOR * targetLatencyMs));
 
 /** What a move needs of its request. */
-export interface ServerMoveParts {
+export interface RequestFailoverParts {
   readonly log: Pick<RequestLog, 'noteStay'>;
   /** Finds another server, until it is settled that none is needed; nothing where it is over. */
-  readonly pickWorker: (isSettled: () => boolean) => Promise<PickedWorker | undefined>;
+  readonly pickWorker: (isUnneeded: () => boolean) => Promise<PickedWorker | undefined>;
   /** Gives a place back that is not used. */
-  readonly dropPicked: (picked: PickedWorker) => void;
+  readonly releasePicked: (picked: PickedWorker) => void;
   /** Whether another send, to the server, is certain to be allowed. */
-  readonly holdRepeat: (picked: PickedWorker) => boolean;
+  readonly reserveRetry: (picked: PickedWorker) => boolean;
   /** Whether the request is still at its server. */
-  readonly isAt: (call: UpstreamCall) => boolean;
+  readonly isCurrentCall: (call: UpstreamCall) => boolean;
   /** Whether nobody waits for the request any more. */
-  readonly isOver: () => boolean;
+  readonly isFinished: () => boolean;
   /** Whether the request was at a server before. */
-  readonly wasAt: (workerId: string) => boolean;
+  readonly wasTried: (workerId: string) => boolean;
 }
 
 /**
@@ -42,38 +42,38 @@
  * move.begin(call, parts);
  * const picked = await move.take();
  */
-export class ServerMove {
+export class RequestFailover {
   /** The server that takes the request over; none where it stays. */
   private prepared: Promise<PickedWorker | undefined> | undefined;
 
   /** Looks for another server for a request whose call is silent. */
-  begin(call: UpstreamCall, parts: ServerMoveParts): void {
-    this.prepared = this.prepare(call, parts);
+  start(call: UpstreamCall, parts: RequestFailoverParts): void {
+    this.prepared = this.findWorker(call, parts);
   }
 
   /** Takes what came of it, once. */
-  take(): Promise<PickedWorker | undefined> | undefined {
+  takeWorker(): Promise<PickedWorker | undefined> | undefined {
     const { prepared } = this;
     this.prepared = undefined;
     return prepared;
   }
 
   /** Resolves with a server that has a place, once the silent one is given up; never rejects. */
-  private async prepare(
+  private async findWorker(
     call: UpstreamCall,
-    parts: ServerMoveParts,
+    parts: RequestFailoverParts,
   ): Promise<PickedWorker | undefined> {
-    const picked = await parts.pickWorker(() => call.isAnswering)
+    const picked = await parts.pickWorker(() => call.hasAnswerHead)
       .catch((error: unknown) => parts.log.noteStay(error));
     if (!picked) return undefined;
-    const isWanted = !call.isAnswering && !parts.isOver();
+    const isWanted = !call.hasAnswerHead && !parts.isFinished();
     // Looked at again: what allowed another send may have changed while the place was waited for.
-    const mayLeave = !parts.isAt(call) || parts.holdRepeat(picked);
-    if (!isWanted || !mayLeave || parts.wasAt(picked.worker.id)) {
-      parts.dropPicked(picked);
+    const mayMove = !parts.isCurrentCall(call) || parts.reserveRetry(picked);
+    if (!isWanted || !mayMove || parts.wasTried(picked.worker.id)) {
+      parts.releasePicked(picked);
       return undefined;
     }
-    if (parts.isAt(call)) call.abort('the backend server is silent');
+    if (parts.isCurrentCall(call)) call.abort('the backend server is silent');
     return picked;
   }
 }
--- a/src/relay/requestGuard.ts
+++ b/src/relay/requestGuard.ts
@@ -10,9 +10,9 @@
  * Ends of servers under one request, in whichever attempts of its callers, after which its entry
  * does not send it again by itself.
  */
-const MOST_ENDS = 2;
+const MAX_CRASHES = 2;
 /** Longest that a broken attempt waits for news of its server, in milliseconds. */
-const CHECK_WAIT_MS = 50;
+const CRASH_CHECK_WAIT_MS = 50;
 const SUCCESS = 200;
 const REDIRECT = 300;
 
@@ -40,7 +40,7 @@
 
   /** Whether nothing is known against it, so that the entry may choose servers by itself. */
   get isFree(): boolean {
-    return this.countEnds() < MOST_ENDS && this.findSuspect() === undefined;
+    return this.countLocalCrashes() < MAX_CRASHES && this.findSuspect() === undefined;
   }
 
   /** Throws for a request that the leader has found to end servers. */
@@ -56,33 +56,33 @@
    * Notes that a server broke off while it had the request. Resolves once it is known whether the
    * server has ended, or a moment later: whoever waits for its slot is decided on after that.
    */
-  async noteBroken(worker: RoutedWorker): Promise<void> {
+  async checkForCrash(worker: RoutedWorker): Promise<void> {
     // A server that leaves ends in order.
     if (worker.standing !== 'ready') return;
     const checked = this.parts.connections.hasEnded(worker.address).then((hasEnded) => {
-      if (hasEnded) this.noteEnd(worker);
+      if (hasEnded) this.reportCrash(worker);
     });
-    await Promise.race([checked, pause(CHECK_WAIT_MS)]);
+    await Promise.race([checked, pause(CRASH_CHECK_WAIT_MS)]);
   }
 
   /** Notes that a server answered it whole. */
-  noteAnswered(status: number): void {
+  recordAnswer(status: number): void {
     const isServed = status >= SUCCESS && status < REDIRECT;
-    if (!isServed || (this.countEnds() === 0 && !this.findSuspect())) return;
+    if (!isServed || (this.countLocalCrashes() === 0 && !this.findSuspect())) return;
     this.parts.placeClient.reportServed(this.fingerprint);
   }
 
-  private noteEnd({ id, born }: RoutedWorker): void {
-    this.parts.placeClient.reportEnd({ fingerprint: this.fingerprint, workerId: id, born });
+  private reportCrash({ id, born }: RoutedWorker): void {
+    this.parts.placeClient.reportCrash({ fingerprint: this.fingerprint, workerId: id, born });
   }
 
   /*
    * Guards against a request that comes again while the leader, who adds its ends up, is out of
    * reach: each of its attempts would be the first.
    */
-  private countEnds(): number {
+  private countLocalCrashes(): number {
     const { placeClient } = this.parts;
-    return placeClient.hasEnds ? placeClient.countEnds(this.fingerprint) : 0;
+    return placeClient.hasCrashes ? placeClient.countCrashes(this.fingerprint) : 0;
   }
 
   /** Looked up only where there are suspects: most requests need no fingerprint. */
--- a/src/relay/requestLog.ts
+++ b/src/relay/requestLog.ts
@@ -1,7 +1,7 @@
 import type { BeechliftError } from '../errors/beechliftError';
 import type { AdmittedRequest } from './admitRequest';
 import type { AnswerWriter } from './answerWriter';
-import type { AttemptEnd } from './attemptNotes';
+import type { AttemptOutcome } from './attemptTracker';
 import type { RequestGuard } from './requestGuard';
 import type { RequestParts } from './requestParts';
 import type { PickedWorker } from './workerPicker';
@@ -27,30 +27,30 @@
   ) {}
 
   /** Notes what came of an attempt at a backend server. */
-  noteAttempt(
+  logAttempt(
     { route }: AdmittedRequest,
     { worker, expectedMs, placeId }: PickedWorker,
-    end: AttemptEnd,
+    outcome: AttemptOutcome,
     writer: Pick<AnswerWriter, 'statusCode' | 'firstAt' | 'pieces'>,
   ): void {
     const { metrics, logger, clock } = this.parts;
     const now = clock.now();
-    metrics.attempts.inc({ outcome: end.kind });
-    if (end.kind === 'answered') {
+    metrics.attempts.inc({ outcome: outcome.kind });
+    if (outcome.kind === 'answered') {
       const answeredAt = route.kind === 'stream' && writer.pieces > 0 ? writer.firstAt : now;
       const seconds = (answeredAt - this.receivedAt) / MS_PER_SECOND;
       metrics.latency.observe({ kind: route.kind }, seconds);
     }
-    const level = end.kind === 'answered' ? 'debug' : 'info';
+    const level = outcome.kind === 'answered' ? 'debug' : 'info';
     logger[level]('attempt ended', {
       requestId: this.requestId,
-      fingerprint: end.kind === 'broken' ? this.identity?.fingerprint : undefined,
+      fingerprint: outcome.kind === 'broken' ? this.identity?.fingerprint : undefined,
       route: route.name,
       worker: worker.id,
       placed: placeId !== '',
       expectedMs: Math.round(expectedMs),
-      outcome: end.kind,
-      reason: end.kind === 'answered' ? undefined : end.reason,
+      outcome: outcome.kind,
+      reason: outcome.kind === 'answered' ? undefined : outcome.reason,
       status: writer.statusCode,
       tookMs: Math.round(now - this.receivedAt),
     });
@@ -63,7 +63,7 @@
   }
 
   /** Notes an answer of our own, and the document by which it was decided. */
-  noteRefusal(error: BeechliftError, admitted: AdmittedRequest | undefined, sent: number): void {
+  logRefusal(error: BeechliftError, admitted: AdmittedRequest | undefined, sent: number): void {
     const { metrics, logger, clock } = this.parts;
     metrics.refusals.inc({ code: error.number });
     logger.info('request refused', {
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -4,32 +4,32 @@
 import type { RoutedWorker } from '../core/routing/routedWorkers';
 import { admitRequest } from './admitRequest';
 import type { AdmittedRequest } from './admitRequest';
-import { AnswerWriter, pickFlow } from './answerWriter';
-import type { AnswerFlow } from './answerWriter';
-import { AttemptNotes } from './attemptNotes';
-import type { AttemptEnd } from './attemptNotes';
-import { judgeAnswer, settleAttempt } from './attemptVerdict';
+import { AnswerWriter, pickAnswerMode } from './answerWriter';
+import type { AnswerMode } from './answerWriter';
+import { AttemptTracker } from './attemptTracker';
+import type { AttemptOutcome } from './attemptTracker';
+import { checkAnswerHead, settleAttempt } from './attemptOutcome';
 import { computeLeaseWaitMs } from './leaseWait';
 import { canAnswerInTime, makeLeavingError } from './leavingEntry';
 import type { OpenRequest } from './openRequests';
 import { readRequestBody } from './readRequestBody';
-import type { AnswerFacts, CallFacts } from './requestDialect';
-import { RepeatRules } from './repeatRules';
+import type { AnswerFacts, RequestFacts } from './requestDialect';
+import { RetryPolicy } from './retryPolicy';
 import { RequestGuard } from './requestGuard';
 import { RequestLog } from './requestLog';
 import type { RequestParts } from './requestParts';
-import { computeSilenceMs, ServerMove } from './serverMove';
+import { computeSilenceMs, RequestFailover } from './requestFailover';
 import { UpstreamCall } from './upstreamCall';
 import type { UpstreamHead, UpstreamRequest } from './upstreamCall';
-import { noteNotices } from './workerNotices';
+import { applyNotice } from './workerNotices';
 import type { PickedWorker } from './workerPicker';
 
 /** A request that is admitted and read, and what is decided by. */
-interface OfferedRequest {
+interface PreparedRequest {
   readonly admitted: AdmittedRequest;
   readonly body: Buffer;
   readonly guard: RequestGuard;
-  readonly rules: RepeatRules;
+  readonly retryPolicy: RetryPolicy;
 }
 
 /**
@@ -43,7 +43,7 @@
 export class RoutedRequest implements OpenRequest {
   private readonly receivedAt: number;
 
-  private readonly facts: CallFacts;
+  private readonly facts: RequestFacts;
 
   private readonly log: RequestLog;
 
@@ -56,14 +56,14 @@
   /** Takes it back while it waits for a place, so that others get the slot it would have had. */
   private cancelPick: (() => void) | undefined;
 
-  private readonly move = new ServerMove();
+  private readonly failover = new RequestFailover();
 
   private writer: AnswerWriter;
 
   private admitted: AdmittedRequest | undefined;
 
   /** Known once the request is admitted and read. */
-  private rules: RepeatRules | undefined;
+  private retryPolicy: RetryPolicy | undefined;
 
   constructor(
     private readonly parts: RequestParts,
@@ -74,19 +74,19 @@
     private readonly isNewest: () => boolean,
   ) {
     this.receivedAt = parts.clock.now();
-    this.facts = parts.dialect.readCall(request.rawHeaders);
+    this.facts = parts.dialect.readRequest(request.rawHeaders);
     this.log = new RequestLog(parts, this.facts.requestId, this.receivedAt);
     this.writer = this.makeWriter('direct');
   }
 
   /** Serves the request; never rejects. */
   async run(): Promise<void> {
-    this.response.on('close', () => this.noteClosed());
+    this.response.on('close', () => this.handleClose());
     try {
       await this.serve();
     } catch (thrown) {
       const error = toBeechliftError(thrown);
-      this.refuse(this.rules?.judgeRefusal(error) ?? error);
+      this.refuse(this.retryPolicy?.adjustRefusal(error) ?? error);
     }
   }
 
@@ -99,14 +99,14 @@
   /** Ends an answer that has begun and is not whole. */
   breakOff(): void {
     if (this.response.writableEnded) return;
-    this.writer.breakOff();
+    this.writer.abort();
   }
 
-  private makeWriter(flow: AnswerFlow): AnswerWriter {
+  private makeWriter(mode: AnswerMode): AnswerWriter {
     const { site, clock } = this.parts;
     // A request behind it may run already: its answer closes the connection.
     const isClosing = (): boolean => site.isLeaving && this.isNewest();
-    return new AnswerWriter(this.response, flow, () => clock.now(), isClosing);
+    return new AnswerWriter(this.response, mode, () => clock.now(), isClosing);
   }
 
   private async serve(): Promise<void> {
@@ -119,25 +119,25 @@
     const { route } = admitted;
     const patienceMs = Math.min(route.timeoutMs, this.facts.patienceMs ?? Infinity);
     this.deadlineAt = this.receivedAt + patienceMs;
-    this.writer = this.makeWriter(pickFlow(route));
+    this.writer = this.makeWriter(pickAnswerMode(route));
     const limits = site.table?.routing.limits;
     const body = await readRequestBody(this.request, limits?.bodyBytes ?? 0);
     const guard = this.makeGuard(host, admitted, body);
     this.log.identity = guard;
     guard.check();
-    const rules = new RepeatRules(this.parts, admitted, guard);
-    this.rules = rules;
+    const retryPolicy = new RetryPolicy(this.parts, admitted, guard);
+    this.retryPolicy = retryPolicy;
     if (!canAnswerInTime(site, admitted, this.facts)) throw makeLeavingError();
     site.retries.noteRequest(admitted.service, clock.now());
     const timer = setTimeout(() => this.expire(), this.deadlineAt - clock.now());
     try {
-      await this.offer({
-        admitted, body, guard, rules,
+      await this.tryServers({
+        admitted, body, guard, retryPolicy: retryPolicy,
       });
     } finally {
       clearTimeout(timer);
-      await this.dropMove(admitted);
-      rules.refundRepeat();
+      await this.cancelFailover(admitted);
+      retryPolicy.releaseRetry();
     }
   }
 
@@ -149,110 +149,110 @@
   }
 
   /** Offers the request to one server after another, until it is answered or given up. */
-  private async offer(offered: OfferedRequest): Promise<void> {
-    const { admitted, rules } = offered;
-    const picked = await this.move.take() ?? await this.pickWorker(offered);
+  private async tryServers(prepared: PreparedRequest): Promise<void> {
+    const { admitted, retryPolicy: retryPolicy } = prepared;
+    const picked = await this.failover.takeWorker() ?? await this.pickWorker(prepared);
     if (!picked) return;
-    if (this.writer.isOver) {
-      this.dropPicked(admitted, picked);
+    if (this.writer.isFinished) {
+      this.releasePicked(admitted, picked);
       return;
     }
     if (!this.writer.hasBegun && !canAnswerInTime(this.parts.site, admitted, this.facts, picked)) {
-      this.dropPicked(admitted, picked);
+      this.releasePicked(admitted, picked);
       throw makeLeavingError();
     }
-    rules.noteOffer();
+    retryPolicy.countTry();
     this.tried.push(picked.worker.id);
-    const end = await this.attempt(offered, picked);
-    this.log.noteAttempt(admitted, picked, end, this.writer);
-    if (end.kind === 'answered' || this.writer.isOver) return;
-    if (!rules.maySendAgain(end, this.writer, this.deadlineAt)) {
-      throw rules.makeFailure(end.reason);
+    const outcome = await this.attempt(prepared, picked);
+    this.log.logAttempt(admitted, picked, outcome, this.writer);
+    if (outcome.kind === 'answered' || this.writer.isFinished) return;
+    if (!retryPolicy.mayRetry(outcome, this.writer, this.deadlineAt)) {
+      throw retryPolicy.makeFailure(outcome.reason);
     }
-    this.parts.metrics.repeats.inc({ reason: end.kind });
-    await this.offer(offered);
+    this.parts.metrics.repeats.inc({ reason: outcome.kind });
+    await this.tryServers(prepared);
   }
 
   private async pickWorker(
-    { admitted, guard }: OfferedRequest,
-    isSettled = (): boolean => false,
+    { admitted, guard }: PreparedRequest,
+    isUnneeded = (): boolean => false,
   ): Promise<PickedWorker | undefined> {
-    if (this.writer.isOver) return undefined;
+    if (this.writer.isFinished) return undefined;
     return this.parts.picker.pick({
       admitted,
       facts: this.facts,
       deadlineAt: this.deadlineAt,
       tried: [...this.tried],
       guard,
-      isOver: () => this.writer.isOver || isSettled(),
+      isOver: () => this.writer.isFinished || isUnneeded(),
       noteWaiting: (cancel) => {
         this.cancelPick = cancel;
       },
     });
   }
 
-  private async attempt(offered: OfferedRequest, picked: PickedWorker): Promise<AttemptEnd> {
+  private async attempt(prepared: PreparedRequest, picked: PickedWorker): Promise<AttemptOutcome> {
     const {
-      admitted, body, guard, rules,
-    } = offered;
+      admitted, body, guard, retryPolicy: retryPolicy,
+    } = prepared;
     const { worker } = picked;
     const { connections } = this.parts;
-    const connection = connections.take(worker.address);
-    const notes = this.makeNotes(admitted, picked);
-    let verdict: AttemptEnd | undefined;
-    this.writer.dropUnsent();
+    const connection = connections.acquire(worker.address);
+    const tracker = this.makeTracker(admitted, picked);
+    let headOutcome: AttemptOutcome | undefined;
+    this.writer.discardUnsent();
     const call: UpstreamCall = new UpstreamCall(connection, {
       onHead: (head) => {
-        notes.noteHead();
-        verdict = this.judgeHead(offered, worker, head);
-        if (verdict) return false;
+        tracker.recordHead();
+        headOutcome = this.checkHead(prepared, worker, head);
+        if (headOutcome) return false;
         this.cancelPick?.();
         this.writer.writeHead(head);
         return true;
       },
       onData: (chunk) => {
-        const isRoomy = this.writer.write(chunk);
-        notes.notePiece();
-        if (!isRoomy) this.writer.waitDrained(() => call.resume());
-        return isRoomy;
+        const canWriteMore = this.writer.write(chunk);
+        tracker.recordChunk();
+        if (!canWriteMore) this.writer.waitDrained(() => call.resume());
+        return canWriteMore;
       },
     });
     this.call = call;
     const silence = setTimeout(
-      () => this.noteSilence(offered, worker, call),
+      () => this.handleSilence(prepared, worker, call),
       computeSilenceMs(admitted.route),
     );
-    const end = await call.run(this.buildUpstreamRequest(admitted, worker, body));
+    const callOutcome = await call.run(this.buildUpstreamRequest(admitted, worker, body));
     clearTimeout(silence);
-    notes.noteOver();
+    tracker.releaseWorker();
     this.call = undefined;
-    if (call.isSent) rules.sent += 1;
-    if (end.kind === 'whole') connections.give(connection);
+    if (call.isSent) retryPolicy.sendCount += 1;
+    if (callOutcome.kind === 'whole') connections.release(connection);
     else connection.end();
-    const settled = settleAttempt({
-      worker, notes, writer: this.writer, now: this.parts.clock.now(),
-    }, end, verdict);
+    const outcome = settleAttempt({
+      worker, tracker: tracker, writer: this.writer, now: this.parts.clock.now(),
+    }, callOutcome, headOutcome);
     // Before any wait, in which the request may be given up.
-    rules.noteAttempt(settled);
-    if (settled.kind === 'broken' && !verdict && !call.isAborted) await guard.noteBroken(worker);
-    if (settled.kind === 'answered') guard.noteAnswered(this.writer.statusCode);
-    notes.noteEnd(settled.kind);
-    return settled;
+    retryPolicy.recordOutcome(outcome);
+    if (outcome.kind === 'broken' && !headOutcome && !call.isAborted) await guard.checkForCrash(worker);
+    if (outcome.kind === 'answered') guard.recordAnswer(this.writer.statusCode);
+    tracker.reportOutcome(outcome.kind);
+    return outcome;
   }
 
-  private makeNotes({ route }: AdmittedRequest, picked: PickedWorker): AttemptNotes {
+  private makeTracker({ route }: AdmittedRequest, picked: PickedWorker): AttemptTracker {
     const { site, placeClient, clock } = this.parts;
     const { writer, facts } = this;
-    return new AttemptNotes({
+    return new AttemptTracker({
       site, placeClient, clock, picked, writer, facts, isStream: route.kind === 'stream',
     });
   }
 
   /** Gives a place back that came when nobody waited for it any more. */
-  private dropPicked(admitted: AdmittedRequest, picked: PickedWorker): void {
-    const notes = this.makeNotes(admitted, picked);
-    notes.noteOver();
-    notes.noteEnd('dropped');
+  private releasePicked(admitted: AdmittedRequest, picked: PickedWorker): void {
+    const tracker = this.makeTracker(admitted, picked);
+    tracker.releaseWorker();
+    tracker.reportOutcome('dropped');
   }
 
   private buildUpstreamRequest(
@@ -275,18 +275,18 @@
   }
 
   /** Tells what is wrong with a head; undefined for one that is passed on. */
-  private judgeHead(
-    offered: OfferedRequest,
+  private checkHead(
+    prepared: PreparedRequest,
     worker: RoutedWorker,
     { status, headers }: UpstreamHead,
-  ): AttemptEnd | undefined {
+  ): AttemptOutcome | undefined {
     const answer: AnswerFacts = this.parts.dialect.readAnswer(headers);
     const { requestId } = this.facts;
-    noteNotices(this.parts, worker, { ...answer, status, requestId });
+    applyNotice(this.parts, worker, { ...answer, status, requestId });
     const { hasBegun } = this.writer;
-    return judgeAnswer({
+    return checkAnswerHead({
       status, answer, requestId, hasBegun,
-    }, () => this.holdRepeat(offered));
+    }, () => this.reserveRetry(prepared));
   }
 
   /*
@@ -294,32 +294,32 @@
    * on, and what may be repeated goes to another one as soon as that has a place for it. Until
    * then the server may still answer: its silence alone ends no request.
    */
-  private noteSilence(offered: OfferedRequest, worker: RoutedWorker, call: UpstreamCall): void {
-    const isSilent = !this.writer.hasBegun && !call.isAnswering;
+  private handleSilence(prepared: PreparedRequest, worker: RoutedWorker, call: UpstreamCall): void {
+    const isSilent = !this.writer.hasBegun && !call.hasAnswerHead;
     if (!isSilent || !this.parts.site.workers.mechanisms.silence) return;
     suspendWorker(worker, this.parts.clock.now());
-    if (!this.holdRepeat(offered)) return;
-    this.move.begin(call, {
+    if (!this.reserveRetry(prepared)) return;
+    this.failover.start(call, {
       log: this.log,
-      pickWorker: (isSettled) => this.pickWorker(offered, isSettled),
-      dropPicked: (picked) => this.dropPicked(offered.admitted, picked),
-      holdRepeat: (picked) => this.holdRepeat(offered, picked),
-      isAt: (other) => this.call === other,
-      isOver: () => this.writer.isOver,
-      wasAt: (workerId) => this.tried.includes(workerId),
+      pickWorker: (isUnneeded) => this.pickWorker(prepared, isUnneeded),
+      releasePicked: (picked) => this.releasePicked(prepared.admitted, picked),
+      reserveRetry: (picked) => this.reserveRetry(prepared, picked),
+      isCurrentCall: (other) => this.call === other,
+      isFinished: () => this.writer.isFinished,
+      wasTried: (workerId) => this.tried.includes(workerId),
     });
   }
 
   /** Whether one that is at a server now is certain to be sent to another, if it is given up. */
-  private holdRepeat({ admitted, rules }: OfferedRequest, picked?: PickedWorker): boolean {
+  private reserveRetry({ admitted, retryPolicy: retryPolicy }: PreparedRequest, picked?: PickedWorker): boolean {
     return canAnswerInTime(this.parts.site, admitted, this.facts, picked)
-      && rules.holdRepeat(this.deadlineAt);
+      && retryPolicy.reserveRetry(this.deadlineAt);
   }
 
-  private async dropMove(admitted: AdmittedRequest): Promise<void> {
+  private async cancelFailover(admitted: AdmittedRequest): Promise<void> {
     this.cancelPick?.();
-    const picked = await this.move.take();
-    if (picked) this.dropPicked(admitted, picked);
+    const picked = await this.failover.takeWorker();
+    if (picked) this.releasePicked(admitted, picked);
   }
 
   private expire(): void {
@@ -328,22 +328,22 @@
   }
 
   private giveUp(error: BeechliftError, reason: string): void {
-    if (this.writer.isOver) return;
-    if (this.call?.isSent) this.rules?.noteAttempt({ kind: 'broken', reason });
-    this.refuse(this.rules?.judgeRefusal(error) ?? error);
+    if (this.writer.isFinished) return;
+    if (this.call?.isSent) this.retryPolicy?.recordOutcome({ kind: 'broken', reason });
+    this.refuse(this.retryPolicy?.adjustRefusal(error) ?? error);
     this.call?.abort(reason);
     this.cancelPick?.();
   }
 
   /** A caller that has gone is waited for by nobody: its backend server is told by the close. */
-  private noteClosed(): void {
+  private handleClose(): void {
     if (this.response.writableFinished) return;
     this.call?.abort('the caller has gone');
     this.cancelPick?.();
   }
 
   private refuse(error: BeechliftError): void {
-    this.log.noteRefusal(error, this.admitted, this.rules?.sent ?? 0);
+    this.log.logRefusal(error, this.admitted, this.retryPolicy?.sendCount ?? 0);
     this.writer.fail(error);
   }
 }
--- a/src/relay/upstreamCall.ts
+++ b/src/relay/upstreamCall.ts
@@ -3,7 +3,7 @@
 import type { WorkerConnection } from './workerConnection';
 
 /** How a request went at one backend server. */
-export type UpstreamEnd = | { readonly kind: 'whole' }
+export type UpstreamOutcome = | { readonly kind: 'whole' }
   /** No byte of the request left. */
   | { readonly kind: 'unsent'; readonly reason: string }
   /** It was sent, and no whole answer came. */
@@ -48,7 +48,7 @@
   isSent = false;
 
   /** Whether the head of an answer has come that is passed on. */
-  isAnswering = false;
+  hasAnswerHead = false;
 
   private controller: Dispatcher.DispatchController | undefined;
 
@@ -69,7 +69,7 @@
   /** Sends the request; resolves once its answer has ended, whole or not. */
   run({
     method, path, headers, body,
-  }: UpstreamRequest): Promise<UpstreamEnd> {
+  }: UpstreamRequest): Promise<UpstreamOutcome> {
     return new Promise((resolve) => {
       const fail = (error: Error): void => resolve(
         this.isSent
@@ -88,7 +88,7 @@
           onResponseData: (controller, chunk) => {
             if (!this.isRefused && !this.listener.onData(chunk)) controller.pause();
           },
-          onResponseEnd: () => resolve(this.judgeEnd()),
+          onResponseEnd: () => resolve(this.makeOutcome()),
           onResponseError: (controller, error) => fail(error),
         });
       } catch (error) {
@@ -127,7 +127,7 @@
     this.isSent = true;
   }
 
-  private judgeEnd(): UpstreamEnd {
+  private makeOutcome(): UpstreamOutcome {
     if (this.isRefused) return { kind: 'broken', reason: 'the answer was refused' };
     if (this.connection.wasReset) return { kind: 'broken', reason: 'the connection was reset' };
     return { kind: 'whole' };
@@ -137,7 +137,7 @@
     // Answers below 200 only announce the one that follows.
     if (status < 200) return;
     this.isRefused = !this.listener.onHead({ status, headers: readRawHeaders(controller) });
-    this.isAnswering = !this.isRefused;
+    this.hasAnswerHead = !this.isRefused;
     if (this.isRefused) controller.abort(new Error('the answer was refused'));
   }
 }
--- a/src/relay/watchLine.ts
+++ b/src/relay/watchStream.ts
@@ -3,7 +3,7 @@
 import type { ClientStream, RpcLink } from '../wire/rpcLink';
 
 /** A question that was not answered yet. */
-interface OpenQuestion {
+interface PendingRequest {
   readonly resolve: (reply: WatchReply) => void;
   readonly reject: (error: Error) => void;
   /** Ends the line when no answer comes in time. */
@@ -21,16 +21,16 @@
  * const line = new WatchLine(link);
  * const reply = await line.ask(request, 550);
  */
-export class WatchLine {
+export class WatchStream {
   private readonly stream: ClientStream<WatchRequest>;
 
-  private open: OpenQuestion | undefined;
+  private pending: PendingRequest | undefined;
 
   private failure: Error | undefined;
 
   constructor(readonly link: RpcLink<SiteClient>) {
     this.stream = link.openStream<WatchRequest, WatchReply>((stub) => stub.keepWatch.bind(stub), {
-      take: (reply) => this.take(reply),
+      take: (reply) => this.handleReply(reply),
       close: (error) => this.end(error ?? new BeechliftError('noQuorum', 'the replica ended the stream')),
     });
   }
@@ -41,13 +41,13 @@
   }
 
   /** Resolves with the answer; rejects, and ends the line, when none comes in time. */
-  ask(request: WatchRequest, timeoutMs: number): Promise<WatchReply> {
+  sendRequest(request: WatchRequest, timeoutMs: number): Promise<WatchReply> {
     return new Promise((resolve, reject) => {
       if (this.failure) {
         reject(this.failure);
         return;
       }
-      this.open = { resolve, reject, timer: setTimeout(() => this.expire(timeoutMs), timeoutMs) };
+      this.pending = { resolve, reject, timer: setTimeout(() => this.expire(timeoutMs), timeoutMs) };
       this.stream.write(request);
     });
   }
@@ -58,7 +58,7 @@
     this.end(new BeechliftError('noQuorum', 'the stream was closed here'));
   }
 
-  private take(reply: WatchReply): void {
+  private handleReply(reply: WatchReply): void {
     this.settle()?.resolve(reply);
   }
 
@@ -74,10 +74,10 @@
   }
 
   /** Takes the question that is open, whose time no longer counts. */
-  private settle(): OpenQuestion | undefined {
-    const { open } = this;
-    this.open = undefined;
-    clearTimeout(open?.timer);
-    return open;
+  private settle(): PendingRequest | undefined {
+    const { pending: pending } = this;
+    this.pending = undefined;
+    clearTimeout(pending?.timer);
+    return pending;
   }
 }
--- a/src/relay/workerConnection.ts
+++ b/src/relay/workerConnection.ts
@@ -2,18 +2,18 @@
 import { buildConnector, Client } from 'undici';
 
 /** A connection that was not used for this long is closed, unless the server allows less. */
-const IDLE_MS = 4_000;
+const IDLE_TIMEOUT_MS = 4_000;
 /** Held back from what a server allows, so that no request meets its close on the way. */
 const IDLE_MARGIN_MS = 1_000;
 /**
  * Longest wait for a new connection: some hundred times the usual, so that a server which is down
  * or cut off costs a request little before another takes it.
  */
-const CONNECT_MS = 300;
+const CONNECT_TIMEOUT_MS = 300;
 /** Largest head of an answer. */
 const MAX_HEAD_BYTES = 65_536;
 
-const connect = buildConnector({ timeout: CONNECT_MS });
+const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
 
 /**
  * One connection to a backend server. It carries one request at a time.
@@ -28,25 +28,25 @@
   /** Whether the other end, or something between, broke the connection off. */
   wasReset = false;
 
-  /** @param noteEnd hears of a connection that has closed */
-  constructor(readonly address: string, noteEnd: (connection: WorkerConnection) => void) {
+  /** @param onEnd hears of a connection that has closed */
+  constructor(readonly address: string, onEnd: (connection: WorkerConnection) => void) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       connect: (options, callback) => connect(options, (error, socket) => {
-        if (socket) this.watch(socket);
+        if (socket) this.watchForReset(socket);
         // The library types the two cases of its callback apart.
         if (error) callback(error, null);
         else callback(null, socket);
       }),
-      keepAliveTimeout: IDLE_MS,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      keepAliveMaxTimeout: IDLE_MS,
+      keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
       maxHeaderSize: MAX_HEAD_BYTES,
       // Deadlines come with each request.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    this.client.on('disconnect', () => noteEnd(this));
+    this.client.on('disconnect', () => onEnd(this));
   }
 
   /** Whether it can carry nothing any more. */
@@ -64,7 +64,7 @@
    * its connection, and the library takes a reset for such an end. This listener stands before the
    * library's own.
    */
-  private watch(socket: Socket): void {
+  private watchForReset(socket: Socket): void {
     socket.once('error', () => {
       this.wasReset = true;
     });
--- a/src/relay/workerConnections.ts
+++ b/src/relay/workerConnections.ts
@@ -1,4 +1,4 @@
-import { ConnectCheck } from './connectCheck';
+import { ConnectionProbe } from './connectionProbe';
 import { WorkerConnection } from './workerConnection';
 
 /**
@@ -12,18 +12,18 @@
 export class WorkerConnections {
   private readonly idle = new Map<string, WorkerConnection[]>();
 
-  private readonly check = new ConnectCheck();
+  private readonly probe = new ConnectionProbe();
 
   /** A connection that is free, the one used last first, or a new one. */
-  take(address: string): WorkerConnection {
+  acquire(address: string): WorkerConnection {
     const free = this.idle.get(address) ?? [];
-    const sound = free.findLastIndex(({ isEnded }) => !isEnded);
-    const [connection] = sound < 0 ? [] : free.splice(sound);
-    return connection ?? new WorkerConnection(address, (ended) => this.forget(ended));
+    const position = free.findLastIndex(({ isEnded }) => !isEnded);
+    const [connection] = position < 0 ? [] : free.splice(position);
+    return connection ?? new WorkerConnection(address, (ended) => this.remove(ended));
   }
 
   /** Takes a connection back after a whole answer. */
-  give(connection: WorkerConnection): void {
+  release(connection: WorkerConnection): void {
     if (connection.isEnded) return;
     const free = this.idle.get(connection.address) ?? [];
     free.push(connection);
@@ -31,7 +31,7 @@
   }
 
   /** Closes idle connections to all addresses but these. */
-  keep(addresses: ReadonlySet<string>): void {
+  closeExcept(addresses: ReadonlySet<string>): void {
     [...this.idle.keys()]
       .filter((address) => !addresses.has(address))
       .forEach((address) => {
@@ -42,16 +42,16 @@
 
   /** Whether a server that broke a connection off has ended; a silent network says no. */
   hasEnded(address: string): Promise<boolean> {
-    return this.check.isRefused(address);
+    return this.probe.isRefused(address);
   }
 
   /** Closes all. */
   close(): void {
-    this.keep(new Set());
+    this.closeExcept(new Set());
   }
 
   /** A connection that closed while idle is opened anew only when it is needed. */
-  private forget(connection: WorkerConnection): void {
+  private remove(connection: WorkerConnection): void {
     const free = this.idle.get(connection.address) ?? [];
     const position = free.indexOf(connection);
     if (position < 0) return;
--- a/src/relay/workerNotices.ts
+++ b/src/relay/workerNotices.ts
@@ -14,7 +14,7 @@
 
 type NoticeParts = Pick<RequestParts, 'clock' | 'metrics' | 'logger'>;
 
-const noteAskedRest = (
+const applyBackoff = (
   { clock, metrics, logger }: NoticeParts,
   worker: RoutedWorker,
   { status, restMs, requestId }: WorkerNotice,
@@ -25,7 +25,7 @@
   logger.info('backend server asks for rest', { requestId, worker: worker.id, restMs });
 };
 
-const noteLeaving = (
+const applyLeaving = (
   { metrics, logger }: NoticeParts,
   worker: RoutedWorker,
   { status, isLeaving, requestId }: WorkerNotice,
@@ -42,11 +42,11 @@
  * @example
  * noteNotices(parts, worker, { status, requestId, restMs, isLeaving });
  */
-export const noteNotices = (
+export const applyNotice = (
   parts: NoticeParts,
   worker: RoutedWorker,
   notice: WorkerNotice,
 ): void => {
-  noteAskedRest(parts, worker, notice);
-  noteLeaving(parts, worker, notice);
+  applyBackoff(parts, worker, notice);
+  applyLeaving(parts, worker, notice);
 };
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -13,13 +13,13 @@
 import type { AdmittedRequest } from './admitRequest';
 import type { PlaceClient } from './placeClient';
 import type { RelaySite } from './relaySite';
-import type { CallFacts } from './requestDialect';
+import type { RequestFacts } from './requestDialect';
 import type { RequestGuard } from './requestGuard';
 
 /** A request that needs a backend server. */
 export interface PickRequest {
   readonly admitted: AdmittedRequest;
-  readonly facts: CallFacts;
+  readonly facts: RequestFacts;
   readonly deadlineAt: number;
   /** Backend servers that it was at already. */
   readonly tried: readonly string[];
@@ -54,7 +54,7 @@
 /** Time to come back where no server is known at all: an announcement or two. */
 const NO_WORKER_RETRY_MS = 1_000;
 /** Times that one offer asks the leader, where its places are at servers that take nothing. */
-const MAX_ASKS = 2;
+const MAX_PLACE_REQUESTS = 2;
 
 /**
  * Finds the backend server for a request. Model engines, whose slots are dear, are given out by the
@@ -66,9 +66,9 @@
  */
 export class WorkerPicker {
   /** Names the places of this process. */
-  private readonly prefix = randomUUID().slice(0, 8);
+  private readonly placeIdPrefix = randomUUID().slice(0, 8);
 
-  private counter = 0;
+  private lastPlaceNumber = 0;
 
   constructor(private readonly parts: WorkerPickerParts) {}
 
@@ -79,22 +79,22 @@
   async pick(request: PickRequest): Promise<PickedWorker | undefined> {
     const { site, clock } = this.parts;
     const { service } = request.admitted;
-    this.checkRests(service);
+    this.checkBackoff(service);
     const isEngine = site.table?.findService(service)?.isEngine ?? false;
-    const isPlaced = isEngine && site.workers.mechanisms.leaderPlacing;
-    const placed = isPlaced ? await this.place(request) : undefined;
+    const usesLeader = isEngine && site.workers.mechanisms.leaderPlacing;
+    const placed = usesLeader ? await this.place(request) : undefined;
     if (placed) return placed;
     if (request.isOver()) return undefined;
     // One copy at a time, which only the leader sees to.
-    if (isPlaced && !request.guard.isFree) throw new BeechliftError('noSlotInTime', 'backend servers ended under this request, and the leader of control is out of reach', { retryAfterMs: NO_WORKER_RETRY_MS });
+    if (usesLeader && !request.guard.isFree) throw new BeechliftError('noSlotInTime', 'backend servers ended under this request, and the leader of control is out of reach', { retryAfterMs: NO_WORKER_RETRY_MS });
     if (request.tried.length === 0) {
       chargeAccount(site, request.admitted.account, request.facts, clock.now());
     }
-    return this.choose(request);
+    return this.chooseLocally(request);
   }
 
   /** Whether any server of a service may take a request at the moment. */
-  hasChoice(service: string): boolean {
+  hasAvailableWorker(service: string): boolean {
     const now = this.parts.clock.now();
     const { workers } = this.parts.site;
     return (workers.byService.get(service) ?? [])
@@ -103,7 +103,7 @@
         && isInReach(workers, worker, now));
   }
 
-  private async place(request: PickRequest, asks = 1): Promise<PickedWorker | undefined> {
+  private async place(request: PickRequest, requestCount = 1): Promise<PickedWorker | undefined> {
     const { site, placeClient, clock } = this.parts;
     const {
       admitted, facts, tried, guard, deadlineAt,
@@ -111,15 +111,15 @@
     const {
       account, service, rank, route,
     } = admitted;
-    this.counter += 1;
-    const placeId = `${this.prefix}${this.counter}`;
+    this.lastPlaceNumber += 1;
+    const placeId = `${this.placeIdPrefix}${this.lastPlaceNumber}`;
     request.noteWaiting(() => placeClient.cancel(placeId));
     const reply = await placeClient.place({
       placeId,
       entryId: site.entryId,
       service,
       account: account?.name ?? '',
-      cost: account && tried.length === 0 && asks === 1 ? computeCost(account, facts) : 0,
+      cost: account && tried.length === 0 && requestCount === 1 ? computeCost(account, facts) : 0,
       rank,
       promptTokens: facts.tokens?.prompt ?? 0,
       outputTokens: facts.tokens?.expected ?? 0,
@@ -147,18 +147,18 @@
     }
     // Or the leader knows a server that this entry has not heard of yet.
     placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMES });
-    if (worker?.standing !== 'ready' || asks >= MAX_ASKS || request.isOver()) return undefined;
-    this.checkRests(service);
-    return this.place(request, asks + 1);
+    if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isOver()) return undefined;
+    this.checkBackoff(service);
+    return this.place(request, requestCount + 1);
   }
 
   /** Throws the refusal where no server of a service may be asked, as all that are ready rest. */
-  private checkRests(service: string): void {
+  private checkBackoff(service: string): void {
     const { site, clock } = this.parts;
-    if (holdsAllBack(site.workers, service, clock.now())) throw this.makeNoChoice(service);
+    if (holdsAllBack(site.workers, service, clock.now())) throw this.makeNoWorkerError(service);
   }
 
-  private makeNoChoice(service: string): BeechliftError {
+  private makeNoWorkerError(service: string): BeechliftError {
     const { site, clock } = this.parts;
     const restMs = readShortestRest(site.workers, service, clock.now());
     if (restMs === 0) return new BeechliftError('noBackend', `no backend server of service "${service}" can take the request`, { retryAfterMs: NO_WORKER_RETRY_MS });
@@ -167,7 +167,7 @@
     });
   }
 
-  private choose({
+  private chooseLocally({
     admitted, facts, deadlineAt, tried,
   }: PickRequest): PickedWorker {
     const { site, clock } = this.parts;
@@ -182,7 +182,7 @@
       tried,
       mustBeFree: false,
     }, now);
-    if (!choice) throw this.makeNoChoice(service);
+    if (!choice) throw this.makeNoWorkerError(service);
     if (tried.length === 0 && !isWorthSending(choice, route.targetLatencyMs, rank)) {
       throw new BeechliftError('noSlotInTime', `the wait at service "${service}" is about ${Math.round(choice.waitMs)} ms, the target is ${route.targetLatencyMs} ms`, {
         retryAfterMs: Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, choice.waitMs)),
--- a/tests/control/routed-site.spec.ts
+++ b/tests/control/routed-site.spec.ts
@@ -6,7 +6,7 @@
   PlaceNews, PlaceRequest, SiteClient, WatchRequest, WorkerAnnouncement,
 } from '../../src/protocol/generated/beechlift';
 import type { PlaceReply, WatchReply } from '../../src/protocol/generated/beechlift';
-import { WatchLine } from '../../src/relay/watchLine';
+import { WatchStream } from '../../src/relay/watchStream';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { ControlSite, formatDocument, waitFor } from '../fakes/controlSite';
 import { makeRoute } from '../fakes/routings';
@@ -40,7 +40,7 @@
     site = started;
     const starting = started.start(0, true);
     const link = new RpcLink(SiteClient, started.readAddress(0));
-    const ask = () => new WatchLine(link).ask(WatchRequest.fromPartial({ entryId: 'e1' }), 1_000);
+    const ask = () => new WatchStream(link).sendRequest(WatchRequest.fromPartial({ entryId: 'e1' }), 1_000);
     const isRefused = async () => /still looking/.test(await ask().then(() => '', String));
     await waitFor(isRefused, 'it is reached and looks for the others');
     link.close();
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -4,7 +4,7 @@
 import { SuspectList } from '../../src/core/quarantine/suspectList';
 import { WatchReply, WatchRequest } from '../../src/protocol/generated/beechlift';
 import type { SuspectRecord } from '../../src/protocol/generated/beechlift';
-import { CrashNotes } from '../../src/relay/crashNotes';
+import { CrashRecords } from '../../src/relay/crashRecords';
 import { makeLogger } from '../../src/telemetry/logger';
 import { HeldCalls } from '../../src/utils/heldCalls';
 
@@ -35,7 +35,7 @@
 ), { minLength: 10, maxLength: 40 });
 
 interface ModelEntry {
-  notes: CrashNotes;
+  notes: CrashRecords;
   list: SuspectList;
   isCut: boolean;
   /** The leader that it spoke to last. */
@@ -160,9 +160,9 @@
   /** Entries tell what they saw; the leader judges; entries and followers hear the list. */
   private tellNews(): void {
     this.entries.filter(({ isCut }) => !isCut).forEach((entry) => {
-      if (entry.spokeTo !== this.epoch) entry.notes.markUntold();
+      if (entry.spokeTo !== this.epoch) entry.notes.markUnreported();
       entry.spokeTo = this.epoch;
-      this.readLeader().take({ sightings: entry.notes.takeUntold(this.now), served: [] });
+      this.readLeader().take({ sightings: entry.notes.takeUnreported(this.now), served: [] });
     });
     this.now += NEWS_MS;
     this.readLeader().tick();
@@ -195,7 +195,7 @@
 
   private makeEntry(): ModelEntry {
     return {
-      notes: new CrashNotes(), list: new SuspectList(), isCut: false, spokeTo: '', calmSince: this.now,
+      notes: new CrashRecords(), list: new SuspectList(), isCut: false, spokeTo: '', calmSince: this.now,
     };
   }
 
--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -24,7 +24,7 @@
 
 /** A dialect of the tests' own: the relay must not depend on the names of any platform. */
 export const testDialect: RequestDialect = {
-  readCall: (headers) => ({
+  readRequest: (headers) => ({
     requestId: findHeader(headers, 'x-id') ?? '',
     patienceMs: Number(findHeader(headers, 'x-patience') ?? 5_000),
     key: findHeader(headers, 'x-key') ?? '',
@@ -146,7 +146,7 @@
   /** Tells the entry of a new standing of all servers, and closes connections as it does then. */
   setStanding(standing: string): void {
     this.tellServers(standing);
-    this.connections.keep(new Set(standing === 'gone' ? [] : this.servers.map(({ address }) => address)));
+    this.connections.closeExcept(new Set(standing === 'gone' ? [] : this.servers.map(({ address }) => address)));
   }
 
   /** Requests that wait for their answer. */
--- a/tests/fakes/stoppingSite.ts
+++ b/tests/fakes/stoppingSite.ts
@@ -4,7 +4,7 @@
 import { findHeader } from '../../src/relay/rawHeaders';
 import { startRelay } from '../../src/relay/relayProcess';
 import type { RunningRelay } from '../../src/relay/relayProcess';
-import type { CallTokens, RawHeaders, RequestDialect } from '../../src/relay/requestDialect';
+import type { RequestTokens, RawHeaders, RequestDialect } from '../../src/relay/requestDialect';
 import { makeLogger } from '../../src/telemetry/logger';
 import { SuspensionWatch, systemClock } from '../../src/utils/clock';
 import { readRouting, waitFor } from './controlSite';
@@ -26,7 +26,7 @@
 export const TOKENS_HEADER = 'x-tokens';
 const PROMPT_TOKENS = 10;
 
-const readTokens = (headers: RawHeaders): CallTokens | undefined => {
+const readTokens = (headers: RawHeaders): RequestTokens | undefined => {
   const told = findHeader(headers, TOKENS_HEADER);
   return told === undefined
     ? undefined
@@ -35,7 +35,7 @@
 
 const dialect: RequestDialect = {
   ...testDialect,
-  readCall: (headers) => ({ ...testDialect.readCall(headers), tokens: readTokens(headers) }),
+  readRequest: (headers) => ({ ...testDialect.readRequest(headers), tokens: readTokens(headers) }),
 };
 
 /** How a site of entries that stop is made. */
--- a/tests/platform/platform-words.spec.ts
+++ b/tests/platform/platform-words.spec.ts
@@ -77,7 +77,7 @@
   ];
 
   it('should tell id, patience, key and tokens', () => {
-    expect(platformDialect.readCall(headers)).toEqual({
+    expect(platformDialect.readRequest(headers)).toEqual({
       requestId: '9c41', patienceMs: 15000, key: 'k1', tokens: { prompt: 1460, output: 80, expected: 80 },
     });
   });
@@ -93,13 +93,13 @@
       requestId: '', patienceMs: undefined, key: '', tokens: { prompt: 12, output: 0, expected: 0 },
     }],
   ])('should make nothing of what cannot be read: %j', (raw, expected) => {
-    expect(platformDialect.readCall(raw)).toEqual(expected);
+    expect(platformDialect.readRequest(raw)).toEqual(expected);
   });
 
   it.each([
     ['30', 30], ['30.2', 31], ['500', 80], ['0', 80], ['-4', 80], ['long', 80], ['Infinity', 80], ['', 80],
   ])('should expect an answer of the length that its caller says, within its most: %s', (hint, expected) => {
-    const { tokens } = platformDialect.readCall(['Token-Count', '1460,80', 'Length-Hint', hint]);
+    const { tokens } = platformDialect.readRequest(['Token-Count', '1460,80', 'Length-Hint', hint]);
     expect(tokens).toEqual({ prompt: 1460, output: 80, expected });
   });
 
--- a/tests/relay/event-framer.spec.ts
+++ b/tests/relay/event-framer.spec.ts
@@ -19,7 +19,7 @@
       const framer = new EventFramer();
       const passed = Buffer.concat(cutAt(bytes, cuts).map((piece) => framer.push(piece)));
       expect(passed.equals(bytes)).toBe(true);
-      expect([framer.lastEventId, framer.count]).toEqual(['9', 9]);
+      expect([framer.lastEventId, framer.eventCount]).toEqual(['9', 9]);
     }), { seed: 3 });
   });
 
@@ -29,7 +29,7 @@
     fc.assert(fc.property(fc.nat({ max: 400 }), (length) => {
       const framer = new EventFramer();
       const first = framer.push(Buffer.from(makeStream(1, 9)).subarray(0, length));
-      framer.dropTorn();
+      framer.discardPartial();
       const next = Number(framer.lastEventId || 0) + 1;
       const rest = next > 9 ? Buffer.alloc(0) : framer.push(Buffer.from(makeStream(next, 9)));
       expect(Buffer.concat([first, rest]).toString()).toBe(makeStream(1, 9));
@@ -39,7 +39,7 @@
   it('should hand out what stands behind the last event when the answer has ended', () => {
     const framer = new EventFramer();
     framer.push(Buffer.from('id: 1\ndata: x\n\n: done'));
-    expect(framer.takeRest().toString()).toBe(': done');
-    expect(framer.takeRest()).toHaveLength(0);
+    expect(framer.takeRemainder().toString()).toBe(': done');
+    expect(framer.takeRemainder()).toHaveLength(0);
   });
 });
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -221,8 +221,8 @@
     let position = 0;
     const client = makeClient(() => leaders[position] as ScriptedLeader);
     const end = { workerId: 'w1', born: 0 };
-    client.reportEnd({ fingerprint: 'a', ...end });
-    client.reportEnd({ fingerprint: 'b', ...end });
+    client.reportCrash({ fingerprint: 'a', ...end });
+    client.reportCrash({ fingerprint: 'b', ...end });
     await pause(20);
     client.reportServed('b');
     await client.place(makeAsk('p1'), findDeadline());
--- a/tests/relay/relay-shutdown.spec.ts
+++ b/tests/relay/relay-shutdown.spec.ts
@@ -32,7 +32,7 @@
     site: { beginLeaving: () => undefined },
     server: createServer(),
     openRequests,
-    tellLeaving: async () => undefined,
+    announceLeaving: async () => undefined,
     locateMs: 0,
     graceMs: GRACE_MS,
     clock: systemClock,
--- a/tests/relay/request-fingerprint.spec.ts
+++ b/tests/relay/request-fingerprint.spec.ts
@@ -18,7 +18,7 @@
     };
     const log = new RequestLog(parts, requestId, 0);
     log.identity = { fingerprint: computeFingerprint(content) };
-    log.noteAttempt(
+    log.logAttempt(
       {
         route: makeRoute({}), service: 'rooms', account: undefined, rank: 0, version: 1,
       },
--- a/tests/relay/watch-line.spec.ts
+++ b/tests/relay/watch-stream.spec.ts
@@ -4,15 +4,15 @@
 import {
   SiteClient, SiteService, WatchReply, WatchRequest,
 } from '../../src/protocol/generated/beechlift';
-import { WatchLine } from '../../src/relay/watchLine';
+import { WatchStream } from '../../src/relay/watchStream';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { handleStream, RpcServer } from '../../src/wire/rpcServer';
 import type { StreamEnd } from '../../src/wire/rpcServer';
 
 type Stream = StreamEnd<WatchRequest, WatchReply>;
 
-const ask = (line: WatchLine, revision: number, timeoutMs = 2_000): Promise<WatchReply> => (
-  line.ask(WatchRequest.fromPartial({ workersRevision: revision }), timeoutMs));
+const ask = (line: WatchStream, revision: number, timeoutMs = 2_000): Promise<WatchReply> => (
+  line.sendRequest(WatchRequest.fromPartial({ workersRevision: revision }), timeoutMs));
 
 describe('the line of an entry to the leader', () => {
   let server: RpcServer | undefined;
@@ -20,7 +20,7 @@
 
   const listen = async (
     take: (stream: Stream, request: WatchRequest) => void,
-  ): Promise<WatchLine> => {
+  ): Promise<WatchStream> => {
     server = new RpcServer();
     server.add(SiteService, {
       keepWatch: handleStream((stream: Stream) => stream.listen({
@@ -29,7 +29,7 @@
       })),
     });
     link = new RpcLink(SiteClient, await server.listen('127.0.0.1:0'));
-    return new WatchLine(link);
+    return new WatchStream(link);
   };
 
   afterEach(() => {
@@ -57,7 +57,7 @@
     await expect(ask(line, 1, 100)).rejects.toThrow('no answer within 100 ms');
     expect(line.isOpen).toBe(false);
     await expect(ask(line, 2)).rejects.toThrow('no answer within 100 ms');
-    const next = new WatchLine(link as RpcLink<SiteClient>);
+    const next = new WatchStream(link as RpcLink<SiteClient>);
     const answer = ask(next, 5);
     frozen?.send(WatchReply.fromPartial({ workersRevision: 1 }));
     expect((await answer).workersRevision).toBe(5);
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -5,7 +5,7 @@
 import type { PlaceClient } from '../../src/relay/placeClient';
 import { RelayMetrics } from '../../src/relay/relayMetrics';
 import { RelaySite } from '../../src/relay/relaySite';
-import { noteNotices } from '../../src/relay/workerNotices';
+import { applyNotice } from '../../src/relay/workerNotices';
 import type { WorkerNotice } from '../../src/relay/workerNotices';
 import { WorkerPicker } from '../../src/relay/workerPicker';
 import { makeLogger } from '../../src/telemetry/logger';
@@ -64,7 +64,7 @@
 ): void => {
   const worker = site.workers.byId.get(workerId);
   if (!worker) throw new Error(`no server ${workerId}`);
-  noteNotices({
+  applyNotice({
     clock, metrics: new RelayMetrics(), logger: makeLogger('test', 'silent'),
   }, worker, {
     status: 503, requestId: 'r0', ...notice,
