--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -9,12 +9,12 @@
 import { MECHANISMS } from '../src/core/routing/mechanisms';
 import type { Mechanism } from '../src/core/routing/mechanisms';
 import { PlacementModel } from '../tests/core/placementModel';
-import type { ModelOutcome, ModelSheet } from '../tests/core/placementModel';
+import type { ModelOutcome, ModelWorkload } from '../tests/core/placementModel';
 
 const SECONDS = 34;
 
 /** Eight engines of speeds 1 to 5, long reports above captions above short tags. */
-const restorers: ModelSheet = {
+const restorers: ModelWorkload = {
   slots: 14,
   slowness: [1, 1, 1, 1.8, 1.8, 1.8, 5, 5],
   seconds: SECONDS,
@@ -60,7 +60,7 @@
 };
 
 /** The same with answers that are worth a tenth when they are late. */
-const kiosks: ModelSheet = {
+const kiosks: ModelWorkload = {
   ...restorers,
   kinds: restorers.kinds.map((kind) => ({ ...kind, lateWorth: 0.1 * kind.worth })),
 };
@@ -102,7 +102,7 @@
 const seeds = Array.from({ length: args.seeds }, (unused, position) => position + 1);
 const titles = [...columns, 'by seed'].map((title) => title.padStart(20));
 
-const runAll = (sheet: ModelSheet, off: readonly Mechanism[]): ModelOutcome[] => (
+const runAll = (sheet: ModelWorkload, off: readonly Mechanism[]): ModelOutcome[] => (
   seeds.map((seed) => new PlacementModel(sheet, seed, off).run())
 );
 
--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -2,7 +2,7 @@
 import type {
   EntryRecord, WatchRequest, WorkerLoad,
 } from '../protocol/generated/beechlift';
-import { computeSilenceMs } from '../core/routing/messagePace';
+import { computeEntryTimeoutMs } from '../core/routing/messageIntervals';
 import { LoadSums } from './loadSums';
 
 /** What the leader knows of an entry. */
@@ -114,7 +114,7 @@
   private expire(now: number): void {
     if (now - this.expiredAt < EXPIRE_MS) return;
     this.expiredAt = now;
-    const mostSilentMs = computeSilenceMs(this.entries.size);
+    const mostSilentMs = computeEntryTimeoutMs(this.entries.size);
     this.entries.forEach((entry, id) => {
       const silentMs = now - entry.heardAt;
       if (silentMs > this.leaseMs) this.drop(id);
--- a/src/control/leaderBook.ts
+++ b/src/control/leaderBook.ts
@@ -1,10 +1,10 @@
 import type {
   EntryRecord, PlaceNews, PlaceRequest, WatchReply, WatchRequest,
 } from '../protocol/generated/beechlift';
-import { NO_CAUTION } from '../core/quarantine/placementCaution';
+import { NO_RESTRICTION } from '../core/quarantine/placementRestriction';
 import { AccountLedger } from '../core/routing/accountLedger';
-import type { EntryListHeld } from '../core/routing/entryList';
-import { NO_LIST } from '../core/routing/listVersion';
+import type { EntryListVersion } from '../core/routing/entryList';
+import { NO_REVISION } from '../core/routing/listVersion';
 import type { Mechanisms } from '../core/routing/mechanisms';
 import { listChangedWorkers } from '../core/routing/workerTable';
 import type { WorkerTable } from '../core/routing/workerTable';
@@ -69,7 +69,7 @@
     this.desk = new PlacementDesk({
       clock: parts.clock,
       mechanisms: parts.mechanisms,
-      findCaution: (fingerprint) => parts.suspects?.findCaution(fingerprint) ?? NO_CAUTION,
+      findCaution: (fingerprint) => parts.suspects?.findCaution(fingerprint) ?? NO_RESTRICTION,
       noteUnplaced: ({ account, cost }) => this.ledger.refund(account, cost),
     });
   }
@@ -83,7 +83,7 @@
   noteEntry(request: WatchRequest): void {
     const now = this.parts.clock.now();
     this.entries.note(request, now);
-    this.ledger.noteSpends(request.entryId, request.spends, now);
+    this.ledger.recordSpends(request.entryId, request.spends, now);
   }
 
   /** Entries that may hold a lease, which ask here all the time. */
@@ -105,11 +105,11 @@
    *
    * @param epoch names this leader's tables
    */
-  buildListPart({ entriesEpoch, entriesRevision }: EntryListHeld, epoch: string): EntryListPart {
+  buildListPart({ entriesEpoch, entriesRevision }: EntryListVersion, epoch: string): EntryListPart {
     const now = this.parts.clock.now();
     const isOwn = entriesEpoch === epoch;
     const isSettling = now - this.startedAt < SETTLE_MS;
-    if (isSettling && !isOwn && entriesEpoch !== '') return { entries: [], entriesRevision: NO_LIST };
+    if (isSettling && !isOwn && entriesEpoch !== '') return { entries: [], entriesRevision: NO_REVISION };
     const { records, revision } = this.entries.list(now);
     const isSame = isOwn && revision === entriesRevision;
     return { entries: isSame ? [] : [...records], entriesRevision: revision };
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -52,7 +52,7 @@
       documentDigest,
       workersEpoch: epoch,
       workersRevision: revision,
-      ...this.entries.held,
+      ...this.entries.heldVersion,
       ...suspects.held,
       rememberedWorkers: [...this.untoldWorkers],
       rememberedSuspects: [...this.untoldSuspects],
--- a/src/control/placementDesk.ts
+++ b/src/control/placementDesk.ts
@@ -2,12 +2,12 @@
   PlacedReport, PlaceReply, PlaceRequest, WorkerLoad, WorkerRecord,
 } from '../protocol/generated/beechlift';
 import {
-  askPlaces, dropWaiting, expirePlaced, keepPlaced, makePlacement, notePlaced, runPlacement,
+  requestSlots, removeWaiting, expirePlaced, retainPlaced, makePlacementTables, applyPlacementUpdate, placeWaiting,
 } from '../core/routing/placement';
-import type { CautionFinder } from '../core/quarantine/placementCaution';
-import type { PlaceDecision, PlacedNews } from '../core/routing/placement';
-import { NO_TIMES } from '../core/routing/placementTables';
-import type { PlaceAsk, PlacementTables } from '../core/routing/placementTables';
+import type { RestrictionFinder } from '../core/quarantine/placementRestriction';
+import type { PlacementDecision, PlacementUpdate } from '../core/routing/placement';
+import { NO_TIMINGS } from '../core/routing/placementTables';
+import type { SlotRequest, PlacementTables } from '../core/routing/placementTables';
 import type { Mechanisms } from '../core/routing/mechanisms';
 import { applyLoads, applyRecords, makeRoutedWorkers } from '../core/routing/routedWorkers';
 import type { RoutedWorkers } from '../core/routing/routedWorkers';
@@ -19,7 +19,7 @@
 
 const isNews = (report: PlacedReport): boolean => PHASES.includes(report.phase);
 
-const toAsk = (request: PlaceRequest, now: number): PlaceAsk => ({
+const toAsk = (request: PlaceRequest, now: number): SlotRequest => ({
   id: request.placeId,
   entryId: request.entryId,
   service: request.service,
@@ -35,7 +35,7 @@
   askedAt: now,
 });
 
-const toReply = (decision: PlaceDecision): PlaceReply => (decision.kind === 'grant'
+const toReply = (decision: PlacementDecision): PlaceReply => (decision.kind === 'grant'
   ? {
     placeId: decision.id,
     code: 0,
@@ -65,7 +65,7 @@
   /** Called for each request that gets no place: it has used nothing of its account's limit. */
   readonly noteUnplaced: (request: PlaceRequest) => void;
   /** Tells what is known against a request; nothing where it is left out. */
-  readonly findCaution?: CautionFinder | undefined;
+  readonly findCaution?: RestrictionFinder | undefined;
   /** All are on where none are named. */
   readonly mechanisms?: Mechanisms | undefined;
 }
@@ -85,7 +85,7 @@
 
   constructor(private readonly parts: PlacementDeskParts) {
     this.workers = makeRoutedWorkers(parts.mechanisms);
-    this.tables = makePlacement(this.workers, parts.findCaution);
+    this.tables = makePlacementTables(this.workers, parts.findCaution);
   }
 
   /** Requests that wait for a slot, and those that hold one. */
@@ -102,7 +102,7 @@
   ask(requests: readonly PlaceRequest[], line: PlacementLine): void {
     const now = this.parts.clock.now();
     requests.forEach((request) => this.open.set(request.placeId, { line, request }));
-    this.settle(askPlaces(this.tables, requests.map((request) => toAsk(request, now)), now));
+    this.settle(requestSlots(this.tables, requests.map((request) => toAsk(request, now)), now));
   }
 
   /** Takes in how placed requests go, and gives the slots that become free to others. */
@@ -110,15 +110,15 @@
     if (reports.length === 0) return;
     const now = this.parts.clock.now();
     reports.filter(isNews).forEach(({ placeId, phase, ...rest }) => {
-      notePlaced(this.tables, { id: placeId, phase: phase as PlacedNews['phase'], ...rest }, now);
+      applyPlacementUpdate(this.tables, { id: placeId, phase: phase as PlacementUpdate['phase'], ...rest }, now);
       if (phase === 'dropped') this.forget(placeId);
     });
-    this.settle(runPlacement(this.tables, now));
+    this.settle(placeWaiting(this.tables, now));
   }
 
   /** Frees what an entry no longer holds: it lost the reply, or its report did not arrive. */
   keep(entryId: string, held: readonly string[]): void {
-    keepPlaced(this.tables, entryId, new Set(held));
+    retainPlaced(this.tables, entryId, new Set(held));
   }
 
   /** Takes in backend servers that changed. */
@@ -135,7 +135,7 @@
   tick(isThere: (entryId: string) => boolean): void {
     const now = this.parts.clock.now();
     expirePlaced(this.tables, isThere, now);
-    this.settle(runPlacement(this.tables, now));
+    this.settle(placeWaiting(this.tables, now));
     new Set([...this.open.values()].map(({ line }) => line)).forEach((line) => line.keepAlive());
   }
 
@@ -147,7 +147,7 @@
     [...this.open]
       .filter(([, open]) => open.line === line)
       .forEach(([placeId]) => {
-        dropWaiting(this.tables, placeId);
+        removeWaiting(this.tables, placeId);
         this.forget(placeId);
       });
   }
@@ -159,10 +159,10 @@
   }
 
   private dropGrant(id: string): void {
-    notePlaced(this.tables, { id, phase: 'dropped', ...NO_TIMES }, this.parts.clock.now());
+    applyPlacementUpdate(this.tables, { id, phase: 'dropped', ...NO_TIMINGS }, this.parts.clock.now());
   }
 
-  private settle(decisions: readonly PlaceDecision[]): void {
+  private settle(decisions: readonly PlacementDecision[]): void {
     decisions.forEach((decision) => {
       const open = this.open.get(decision.id);
       this.open.delete(decision.id);
--- a/src/control/suspectKeeper.ts
+++ b/src/control/suspectKeeper.ts
@@ -2,17 +2,17 @@
   PlaceNews, SuspectRecord, WatchReply, WatchRequest, WorkerAnnouncement,
 } from '../protocol/generated/beechlift';
 import {
-  computeRefusedMs, findStage, FIRST_REVISION, isUnsettled, makeCrashTable, nameStart, noteEnd,
-  noteServed, weighSuspect,
+  computeRemainingRefusalMs, findStage, FIRST_REVISION, hasUnsettledCrash, makeCrashTable, formatIncarnation, recordCrash,
+  recordServed, computeSuspectWeight,
 } from '../core/quarantine/crashTable';
 import type { StageChange, SuspectStage } from '../core/quarantine/crashTable';
-import { expireSuspects, judgeEnds, noteHeard } from '../core/quarantine/judgement';
-import { NO_CAUTION } from '../core/quarantine/placementCaution';
-import type { CautionKind, PlacementCaution } from '../core/quarantine/placementCaution';
+import { expireSuspects, evaluateCrashes, recordAnnouncement } from '../core/quarantine/crashEvaluation';
+import { NO_RESTRICTION } from '../core/quarantine/placementRestriction';
+import type { RestrictionKind, PlacementRestriction } from '../core/quarantine/placementRestriction';
 import { SuspectList } from '../core/quarantine/suspectList';
-import type { SuspectListHeld } from '../core/quarantine/suspectList';
+import type { SuspectListVersion } from '../core/quarantine/suspectList';
 import { adoptSuspect, listSuspects } from '../core/quarantine/suspectRecords';
-import { computeNewsWaitMs } from '../core/routing/messagePace';
+import { computeUpdateDelayMs } from '../core/routing/messageIntervals';
 import type { Logger } from '../telemetry/logger';
 import type { Clock } from '../utils/clock';
 import type { HeldCalls } from '../utils/heldCalls';
@@ -57,8 +57,8 @@
   }
 
   /** What this replica holds of the leader's list. */
-  get held(): SuspectListHeld {
-    return this.list.held;
+  get held(): SuspectListVersion {
+    return this.list.heldVersion;
   }
 
   /** Takes in which servers ended under which requests, and which requests were served. */
@@ -66,40 +66,40 @@
     const now = this.parts.clock.now();
     sightings.forEach((sighting) => {
       const { fingerprint, ageMs } = sighting;
-      noteEnd(this.table, fingerprint, nameStart(sighting), now - ageMs, now);
+      recordCrash(this.table, fingerprint, formatIncarnation(sighting), now - ageMs, now);
     });
-    this.tell(served.flatMap((fingerprint) => noteServed(this.table, fingerprint, now)));
+    this.tell(served.flatMap((fingerprint) => recordServed(this.table, fingerprint, now)));
   }
 
   /** Notes that a server announced itself: one that goes on did not end. */
   noteAnnounced(said: WorkerAnnouncement): void {
     if (said.state === 'gone') return;
     const now = this.parts.clock.now();
-    this.tell(noteHeard(this.table, nameStart(said), said.sequence, now));
+    this.tell(recordAnnouncement(this.table, formatIncarnation(said), said.sequence, now));
   }
 
   /** Judges what has come in, and forgets what is old. */
   tick(): void {
     const now = this.parts.clock.now();
-    this.tell(judgeEnds(this.table, now));
+    this.tell(evaluateCrashes(this.table, now));
     if (now - this.expiredAt < EXPIRE_MS) return;
     this.expiredAt = now;
     this.tell(expireSuspects(this.table, now));
   }
 
   /** Tells how a request that asks for a place is to be treated. */
-  findCaution(fingerprint: string): PlacementCaution {
+  findCaution(fingerprint: string): PlacementRestriction {
     const suspect = this.table.suspects.get(fingerprint);
-    if (!suspect) return NO_CAUTION;
+    if (!suspect) return NO_RESTRICTION;
     const now = this.parts.clock.now();
-    const kinds: Record<SuspectStage, CautionKind> = {
+    const kinds: Record<SuspectStage, RestrictionKind> = {
       noted: 'none',
-      watched: isUnsettled(this.table, fingerprint) ? 'held' : 'alone',
+      watched: hasUnsettledCrash(this.table, fingerprint) ? 'held' : 'alone',
       refused: 'refused',
     };
     return {
       kind: kinds[findStage(this.table, fingerprint, now)],
-      refusedMs: computeRefusedMs(suspect, now),
+      refusedMs: computeRemainingRefusalMs(suspect, now),
     };
   }
 
@@ -112,7 +112,7 @@
   save(): void {
     const { suspectMemo, clock } = this.parts;
     if (this.table.revision === FIRST_REVISION) return;
-    suspectMemo.note(`${this.list.held.suspectsEpoch}/${this.table.revision}`, clock.now(), () => this.listSuspects());
+    suspectMemo.note(`${this.list.heldVersion.suspectsEpoch}/${this.table.revision}`, clock.now(), () => this.listSuspects());
   }
 
   /** Takes over what the leader told a replica that follows. */
@@ -134,7 +134,7 @@
     if (missing.length === 0) return;
     this.adopt(missing);
     this.table.revision += 1;
-    this.parts.watches.releaseWithin(computeNewsWaitMs(this.parts.countEntries()));
+    this.parts.watches.releaseWithin(computeUpdateDelayMs(this.parts.countEntries()));
     this.parts.logger.info('suspects recalled', { count: missing.length });
   }
 
@@ -155,11 +155,11 @@
     const now = clock.now();
     changes.forEach(({ kind, suspect }) => logger.info(`suspect ${kind}`, {
       fingerprint: suspect.fingerprint,
-      weight: Number(weighSuspect(suspect).toFixed(2)),
+      weight: Number(computeSuspectWeight(suspect).toFixed(2)),
       servers: [...suspect.servers].join(' '),
-      refusedMs: computeRefusedMs(suspect, now),
+      refusedMs: computeRemainingRefusalMs(suspect, now),
     }));
-    if (changes.length > 0) watches.releaseWithin(computeNewsWaitMs(this.parts.countEntries()));
+    if (changes.length > 0) watches.releaseWithin(computeUpdateDelayMs(this.parts.countEntries()));
   }
 
   private adopt(records: readonly SuspectRecord[]): void {
--- a/src/control/workerRegistry.ts
+++ b/src/control/workerRegistry.ts
@@ -2,9 +2,9 @@
 import type {
   WatchReply, WatchRequest, WorkerAnnouncement, WorkerRecord,
 } from '../protocol/generated/beechlift';
-import { computeNewsWaitMs } from '../core/routing/messagePace';
+import { computeUpdateDelayMs } from '../core/routing/messageIntervals';
 import {
-  adoptRecord, expireWorkers, listChangedWorkers, makeWorkerTable, needsRecord, noteAnnouncement,
+  adoptRecord, expireWorkers, listChangedWorkers, makeWorkerTable, needsRecord, applyAnnouncement,
 } from '../core/routing/workerTable';
 import type { WorkerTable } from '../core/routing/workerTable';
 import type { Logger } from '../telemetry/logger';
@@ -42,7 +42,7 @@
   /** Takes in what a backend server said of itself. */
   take(said: WorkerAnnouncement): void {
     const { revision } = this.table;
-    noteAnnouncement(this.table, said, this.parts.clock.now());
+    applyAnnouncement(this.table, said, this.parts.clock.now());
     if (this.table.revision === revision) return;
     this.tellSoon();
     this.parts.logger.info('backend server changed', {
@@ -108,7 +108,7 @@
 
   private tellSoon(): void {
     const { watches, countEntries } = this.parts;
-    watches.releaseWithin(computeNewsWaitMs(countEntries()));
+    watches.releaseWithin(computeUpdateDelayMs(countEntries()));
   }
 
   private adopt(records: readonly WorkerRecord[]): void {
--- a/src/core/quarantine/judgement.ts
+++ b/src/core/quarantine/crashEvaluation.ts
@@ -1,43 +1,43 @@
 /** What the leader concludes from the ends of servers, and when it takes that back. */
 import {
-  EPSILON, findStage, JOINT_END_MS, REFUSE_WEIGHT, releaseSuspect, WATCH_WEIGHT,
-  weighMoment, weighSuspect,
+  WEIGHT_EPSILON, findStage, CRASH_GROUP_WINDOW_MS, REFUSAL_THRESHOLD, clearSuspect, WATCH_THRESHOLD,
+  computeGroupWeight, computeSuspectWeight,
 } from './crashTable';
 import type {
-  CrashTable, EndMoment, StageChange, Suspect,
+  CrashTable, CrashGroup, StageChange, Suspect,
 } from './crashTable';
 
 /** Announcements that were on their way when a server ended mostly arrive within this, in ms. */
-const LATE_NEWS_MS = 500;
+const IN_FLIGHT_GRACE_MS = 500;
 /** Later announcements by which a server is known to live: one or two may have been held up. */
-const LIFE_SIGNS = 3;
+const MIN_LIVENESS_ANNOUNCEMENTS = 3;
 
 /** How long a request is refused at first, and at most, in milliseconds. */
-const FIRST_REFUSAL_MS = 60_000;
+const INITIAL_REFUSAL_MS = 60_000;
 const MAX_REFUSAL_MS = 3_600_000;
 /** How many times as long it is refused when it has ended another server after that. */
 const REFUSAL_FACTOR = 4;
 
 /** How long a suspect is remembered after the last end, or the end of its refusal. */
-const SUSPECT_KEPT_MS = 600_000;
+const SUSPECT_RETENTION_MS = 600_000;
 
 /** Takes back what an end said against a request, as its server lives. */
-const removeEnd = (
+const removeCrash = (
   table: CrashTable,
   suspect: Suspect,
   server: string,
   now: number,
 ): StageChange[] => {
-  const { fingerprint, moments, servers } = suspect;
-  if (servers.size === 1) return releaseSuspect(table, suspect, now);
+  const { fingerprint, crashGroups: moments, servers } = suspect;
+  if (servers.size === 1) return clearSuspect(table, suspect, now);
   const stage = findStage(table, fingerprint, now);
   servers.delete(server);
   [...moments]
-    .filter((moment) => weighMoment(moment, fingerprint) === 0)
+    .filter((moment) => computeGroupWeight(moment, fingerprint) === 0)
     .forEach((moment) => moments.delete(moment));
-  if (weighSuspect(suspect) < REFUSE_WEIGHT - EPSILON) {
+  if (computeSuspectWeight(suspect) < REFUSAL_THRESHOLD - WEIGHT_EPSILON) {
     suspect.refusedUntil = Math.min(suspect.refusedUntil, now);
-    suspect.bound = REFUSE_WEIGHT;
+    suspect.refusalThreshold = REFUSAL_THRESHOLD;
   }
   const left = findStage(table, fingerprint, now);
   if (left === stage) return [];
@@ -45,10 +45,10 @@
   return [{ kind: left === 'noted' ? 'cleared' : left, suspect }];
 };
 
-const addSign = (moment: EndMoment, server: string, sequence: number): number => {
-  const before = moment.heard.get(server) ?? { count: 0, sequence: -1 };
+const countAnnouncement = (moment: CrashGroup, server: string, sequence: number): number => {
+  const before = moment.announcements.get(server) ?? { count: 0, sequence: -1 };
   if (sequence <= before.sequence) return before.count;
-  moment.heard.set(server, { count: before.count + 1, sequence });
+  moment.announcements.set(server, { count: before.count + 1, sequence });
   return before.count + 1;
 };
 
@@ -60,50 +60,50 @@
  * @example
  * const changes = noteHeard(table, 'w1@0', 17, clock.now());
  */
-export const noteHeard = (
+export const recordAnnouncement = (
   table: CrashTable,
   server: string,
   sequence: number,
   now: number,
 ): StageChange[] => {
-  const moment = table.ends.get(server);
-  if (!moment || now - moment.at < LATE_NEWS_MS) return [];
-  if (addSign(moment, server, sequence) < LIFE_SIGNS) return [];
+  const moment = table.groupsByServer.get(server);
+  if (!moment || now - moment.at < IN_FLIGHT_GRACE_MS) return [];
+  if (countAnnouncement(moment, server, sequence) < MIN_LIVENESS_ANNOUNCEMENTS) return [];
   const under = [...moment.servers.get(server) ?? []];
-  table.ends.delete(server);
+  table.groupsByServer.delete(server);
   moment.servers.delete(server);
   return under
     .flatMap((fingerprint) => table.suspects.get(fingerprint) ?? [])
-    .flatMap((suspect) => removeEnd(table, suspect, server, now));
+    .flatMap((suspect) => removeCrash(table, suspect, server, now));
 };
 
 const refuse = (suspect: Suspect, weight: number, now: number): StageChange => {
-  const refusalMs = Math.min(MAX_REFUSAL_MS, FIRST_REFUSAL_MS * REFUSAL_FACTOR ** suspect.refusals);
+  const refusalMs = Math.min(MAX_REFUSAL_MS, INITIAL_REFUSAL_MS * REFUSAL_FACTOR ** suspect.refusals);
   suspect.refusals += 1;
   suspect.refusedUntil = now + refusalMs;
-  suspect.bound = weight + 1;
+  suspect.refusalThreshold = weight + 1;
   return { kind: 'refused', suspect };
 };
 
 /** Copies that run at one moment may share another cause, such as a rack that fails. */
-const hasRepeated = ({ moments, carried }: Suspect): boolean => (
+const hasSeveralGroups = ({ crashGroups: moments, inheritedWeight: carried }: Suspect): boolean => (
   moments.size + (carried > 0 ? 1 : 0) > 1);
 
-const judge = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
-  const weight = weighSuspect(suspect);
-  if (now < suspect.refusedUntil || weight < WATCH_WEIGHT - EPSILON) return [];
+const evaluateSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
+  const weight = computeSuspectWeight(suspect);
+  if (now < suspect.refusedUntil || weight < WATCH_THRESHOLD - WEIGHT_EPSILON) return [];
   table.revision += 1;
-  const isCertain = weight >= suspect.bound - EPSILON && hasRepeated(suspect);
+  const isCertain = weight >= suspect.refusalThreshold - WEIGHT_EPSILON && hasSeveralGroups(suspect);
   if (isCertain) return [refuse(suspect, weight, now)];
   return [{ kind: 'watched', suspect }];
 };
 
-const settleMoment = (table: CrashTable, moment: EndMoment, now: number): StageChange[] => {
+const settleGroup = (table: CrashTable, moment: CrashGroup, now: number): StageChange[] => {
   moment.isSettled = true;
   const fingerprints = new Set([...moment.servers.values()].flatMap((under) => [...under]));
   return [...fingerprints].flatMap((fingerprint) => {
     const suspect = table.suspects.get(fingerprint);
-    return suspect ? judge(table, suspect, now) : [];
+    return suspect ? evaluateSuspect(table, suspect, now) : [];
   });
 };
 
@@ -113,10 +113,10 @@
  * @example
  * const changes = judgeEnds(table, clock.now());
  */
-export const judgeEnds = (table: CrashTable, now: number): StageChange[] => {
-  const due = [...table.ends.values()]
-    .filter(({ at, isSettled }) => !isSettled && now - at > JOINT_END_MS);
-  return [...new Set(due)].flatMap((moment) => settleMoment(table, moment, now));
+export const evaluateCrashes = (table: CrashTable, now: number): StageChange[] => {
+  const due = [...table.groupsByServer.values()]
+    .filter(({ at, isSettled }) => !isSettled && now - at > CRASH_GROUP_WINDOW_MS);
+  return [...new Set(due)].flatMap((moment) => settleGroup(table, moment, now));
 };
 
 /**
@@ -127,11 +127,11 @@
  */
 export const expireSuspects = (table: CrashTable, now: number): StageChange[] => {
   const changes = [...table.suspects.values()]
-    .filter(({ notedAt, refusedUntil }) => (
-      now - Math.max(notedAt, refusedUntil) > SUSPECT_KEPT_MS))
-    .flatMap((suspect) => releaseSuspect(table, suspect, now));
-  [...table.ends]
-    .filter(([, { at }]) => now - at > SUSPECT_KEPT_MS)
-    .forEach(([server]) => table.ends.delete(server));
+    .filter(({ lastEvidenceAt: notedAt, refusedUntil }) => (
+      now - Math.max(notedAt, refusedUntil) > SUSPECT_RETENTION_MS))
+    .flatMap((suspect) => clearSuspect(table, suspect, now));
+  [...table.groupsByServer]
+    .filter(([, { at }]) => now - at > SUSPECT_RETENTION_MS)
+    .forEach(([server]) => table.groupsByServer.delete(server));
   return changes;
 };
--- a/src/core/quarantine/crashTable.ts
+++ b/src/core/quarantine/crashTable.ts
@@ -9,17 +9,17 @@
 import type { CrashSighting } from '../../protocol/generated/beechlift';
 
 /** Servers that ended within a moment of one another, and the requests under each. */
-export interface EndMoment {
+export interface CrashGroup {
   /** When the first of them ended, monotonic milliseconds. */
   readonly at: number;
   readonly servers: Map<string, Set<string>>;
   /** What was heard of each of them since. */
-  readonly heard: Map<string, SignsOfLife>;
+  readonly announcements: Map<string, LivenessEvidence>;
   isSettled: boolean;
 }
 
 /** Announcements of a server after connections to it broke off. */
-interface SignsOfLife {
+interface LivenessEvidence {
   readonly count: number;
   /** Number of the newest; the same one may come over several ways. */
   readonly sequence: number;
@@ -31,15 +31,15 @@
   /** Starts of the servers that ended under it. */
   readonly servers: Set<string>;
   /** Weight that an earlier leader came to. */
-  carried: number;
-  readonly moments: Set<EndMoment>;
+  inheritedWeight: number;
+  readonly crashGroups: Set<CrashGroup>;
   /** Weight at which it is refused, or refused again. */
-  bound: number;
+  refusalThreshold: number;
   refusals: number;
   /** Until when it is refused, monotonic milliseconds. */
   refusedUntil: number;
   /** When something was last heard against it, monotonic milliseconds. */
-  notedAt: number;
+  lastEvidenceAt: number;
 }
 
 /**
@@ -55,7 +55,7 @@
   revision: number;
   readonly suspects: Map<string, Suspect>;
   /** Moments by each server that ended in them. */
-  readonly ends: Map<string, EndMoment>;
+  readonly groupsByServer: Map<string, CrashGroup>;
 }
 
 /** A change of how a request is treated. */
@@ -65,19 +65,19 @@
 }
 
 /** Ends within this of one another have one cause, in milliseconds. */
-export const JOINT_END_MS = 100;
+export const CRASH_GROUP_WINDOW_MS = 100;
 
 /** Ends of servers, one at a time, after which a request is watched, and refused. */
-export const WATCH_WEIGHT = 2;
-export const REFUSE_WEIGHT = 3;
+export const WATCH_THRESHOLD = 2;
+export const REFUSAL_THRESHOLD = 3;
 
 /** Bounds on suspects, on ends, and on the suspects under the end of one server. */
 const MAX_SUSPECTS = 4_096;
-const MAX_ENDS = 4_096;
+const MAX_CRASHES = 4_096;
 const MAX_PER_SERVER = 256;
 
 /** Sums of thirds and sevenths are compared with whole numbers. */
-export const EPSILON = 1e-6;
+export const WEIGHT_EPSILON = 1e-6;
 
 /** Revision of a table in which nothing that is told has changed. */
 export const FIRST_REVISION = 1;
@@ -88,16 +88,16 @@
  * @example
  * nameStart({ workerId: 'w1', born: 0 }); // 'w1@0'
  */
-export const nameStart = ({ workerId, born }: Pick<CrashSighting, 'workerId' | 'born'>): string => (
+export const formatIncarnation = ({ workerId, born }: Pick<CrashSighting, 'workerId' | 'born'>): string => (
   `${workerId}@${born}`);
 
 /** Makes an empty table. */
 export const makeCrashTable = (): CrashTable => ({
-  revision: FIRST_REVISION, suspects: new Map(), ends: new Map(),
+  revision: FIRST_REVISION, suspects: new Map(), groupsByServer: new Map(),
 });
 
 /** What a moment says against a request: its ends, by the part of the moment that it explains. */
-export const weighMoment = ({ servers }: EndMoment, fingerprint: string): number => {
+export const computeGroupWeight = ({ servers }: CrashGroup, fingerprint: string): number => {
   const ends = [...servers.values()].filter((under) => under.has(fingerprint)).length;
   return ends === 0 ? 0 : (ends * ends) / servers.size;
 };
@@ -108,12 +108,12 @@
  * @example
  * weighSuspect(suspect); // 2.25 after two servers alone, and one of four that ended together
  */
-export const weighSuspect = ({ fingerprint, carried, moments }: Suspect): number => (
-  [...moments].reduce((sum, moment) => sum + weighMoment(moment, fingerprint), carried)
+export const computeSuspectWeight = ({ fingerprint, inheritedWeight: carried, crashGroups: moments }: Suspect): number => (
+  [...moments].reduce((sum, moment) => sum + computeGroupWeight(moment, fingerprint), carried)
 );
 
 /** What is left of the time for which a request is refused, in milliseconds. */
-export const computeRefusedMs = ({ refusedUntil }: Suspect, now: number): number => (
+export const computeRemainingRefusalMs = ({ refusedUntil }: Suspect, now: number): number => (
   Math.max(0, Math.ceil(refusedUntil - now)));
 
 /** Tells how a request is to be treated. */
@@ -125,44 +125,44 @@
   const suspect = suspects.get(fingerprint);
   if (!suspect) return 'noted';
   if (now < suspect.refusedUntil) return 'refused';
-  return weighSuspect(suspect) >= WATCH_WEIGHT - EPSILON ? 'watched' : 'noted';
+  return computeSuspectWeight(suspect) >= WATCH_THRESHOLD - WEIGHT_EPSILON ? 'watched' : 'noted';
 };
 
 /**
  * Tells whether a watched request waits until an end under it has been judged: which other servers
  * ended with it is known a moment later.
  */
-export const isUnsettled = ({ suspects }: CrashTable, fingerprint: string): boolean => (
-  [...suspects.get(fingerprint)?.moments ?? []].some(({ isSettled }) => !isSettled)
+export const hasUnsettledCrash = ({ suspects }: CrashTable, fingerprint: string): boolean => (
+  [...suspects.get(fingerprint)?.crashGroups ?? []].some(({ isSettled }) => !isSettled)
 );
 
 const makeSuspect = (fingerprint: string, now: number): Suspect => ({
   fingerprint,
   servers: new Set(),
-  carried: 0,
-  moments: new Set(),
-  bound: REFUSE_WEIGHT,
+  inheritedWeight: 0,
+  crashGroups: new Set(),
+  refusalThreshold: REFUSAL_THRESHOLD,
   refusals: 0,
   refusedUntil: -Infinity,
-  notedAt: now,
+  lastEvidenceAt: now,
 });
 
 /** The oldest that is not watched, else the oldest that is: a flood frees nobody. */
-const findLeast = (table: CrashTable, now: number): Suspect | undefined => {
+const findEvictable = (table: CrashTable, now: number): Suspect | undefined => {
   const isAt = (stage: SuspectStage) => ({ fingerprint }: Suspect): boolean => (
     findStage(table, fingerprint, now) === stage);
   const suspects = [...table.suspects.values()];
   return suspects.find(isAt('noted')) ?? suspects.find(isAt('watched'));
 };
 
-const dropSuspect = (table: CrashTable, suspect: Suspect): void => {
+const removeSuspect = (table: CrashTable, suspect: Suspect): void => {
   table.suspects.delete(suspect.fingerprint);
-  suspect.moments.forEach(({ servers }) => (
+  suspect.crashGroups.forEach(({ servers }) => (
     servers.forEach((fingerprints) => fingerprints.delete(suspect.fingerprint))));
 };
 
 /** The suspect of a fingerprint, made anew where it is not known; none where there is no room. */
-export const findSuspect = (
+export const findOrMakeSuspect = (
   table: CrashTable,
   fingerprint: string,
   now: number,
@@ -170,23 +170,23 @@
   const known = table.suspects.get(fingerprint);
   if (known) return known;
   if (table.suspects.size >= MAX_SUSPECTS) {
-    const least = findLeast(table, now);
+    const least = findEvictable(table, now);
     if (!least) return undefined;
-    dropSuspect(table, least);
+    removeSuspect(table, least);
   }
   const suspect = makeSuspect(fingerprint, now);
   table.suspects.set(fingerprint, suspect);
   return suspect;
 };
 
-const findMoment = ({ ends }: CrashTable, server: string, at: number): EndMoment => {
+const findOrMakeGroup = ({ groupsByServer: ends }: CrashTable, server: string, at: number): CrashGroup => {
   const known = ends.get(server)
-    ?? [...ends.values()].find((moment) => Math.abs(moment.at - at) <= JOINT_END_MS);
+    ?? [...ends.values()].find((moment) => Math.abs(moment.at - at) <= CRASH_GROUP_WINDOW_MS);
   const moment = known ?? {
-    at, servers: new Map<string, Set<string>>(), heard: new Map(), isSettled: false,
+    at, servers: new Map<string, Set<string>>(), announcements: new Map(), isSettled: false,
   };
   const [oldest] = ends.keys();
-  if (ends.size >= MAX_ENDS && oldest !== undefined) ends.delete(oldest);
+  if (ends.size >= MAX_CRASHES && oldest !== undefined) ends.delete(oldest);
   ends.set(server, moment);
   return moment;
 };
@@ -199,7 +199,7 @@
  * @example
  * noteEnd(table, fingerprint, 'w1@0', clock.now(), clock.now());
  */
-export const noteEnd = (
+export const recordCrash = (
   table: CrashTable,
   fingerprint: string,
   server: string,
@@ -207,23 +207,23 @@
   now: number,
 ): void => {
   if (table.suspects.get(fingerprint)?.servers.has(server)) return;
-  const moment = findMoment(table, server, at);
+  const moment = findOrMakeGroup(table, server, at);
   const under = moment.servers.get(server) ?? new Set<string>();
   moment.servers.set(server, under);
   if (under.size >= MAX_PER_SERVER) return;
-  const suspect = findSuspect(table, fingerprint, now);
+  const suspect = findOrMakeSuspect(table, fingerprint, now);
   if (!suspect) return;
   under.add(fingerprint);
   suspect.servers.add(server);
-  suspect.moments.add(moment);
-  suspect.notedAt = now;
+  suspect.crashGroups.add(moment);
+  suspect.lastEvidenceAt = now;
   moment.isSettled = false;
 };
 
 /** Takes a suspect out that is innocent, and returns what changed for it. */
-export const releaseSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
+export const clearSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
   const wasTold = findStage(table, suspect.fingerprint, now) !== 'noted';
-  dropSuspect(table, suspect);
+  removeSuspect(table, suspect);
   if (!wasTold) return [];
   table.revision += 1;
   return [{ kind: 'cleared', suspect }];
@@ -235,11 +235,11 @@
  * @example
  * const changes = noteServed(table, fingerprint, clock.now());
  */
-export const noteServed = (
+export const recordServed = (
   table: CrashTable,
   fingerprint: string,
   now: number,
 ): StageChange[] => {
   const suspect = table.suspects.get(fingerprint);
-  return suspect ? releaseSuspect(table, suspect, now) : [];
+  return suspect ? clearSuspect(table, suspect, now) : [];
 };
--- a/src/core/quarantine/placementCaution.ts
+++ b/src/core/quarantine/placementRestriction.ts
@@ -6,17 +6,17 @@
  * - `held`: not yet, as a server has just ended under it.
  * - `refused`: never.
  */
-export type CautionKind = 'none' | 'alone' | 'held' | 'refused';
+export type RestrictionKind = 'none' | 'alone' | 'held' | 'refused';
 
 /** What the placing of requests is told of one. */
-export interface PlacementCaution {
-  readonly kind: CautionKind;
+export interface PlacementRestriction {
+  readonly kind: RestrictionKind;
   /** What is left of a refusal, in milliseconds. */
   readonly refusedMs: number;
 }
 
 /** Looks a request up by its fingerprint. */
-export type CautionFinder = (fingerprint: string) => PlacementCaution;
+export type RestrictionFinder = (fingerprint: string) => PlacementRestriction;
 
 /** Nothing is known against the request. */
-export const NO_CAUTION: PlacementCaution = { kind: 'none', refusedMs: 0 };
+export const NO_RESTRICTION: PlacementRestriction = { kind: 'none', refusedMs: 0 };
--- a/src/core/quarantine/suspectList.ts
+++ b/src/core/quarantine/suspectList.ts
@@ -2,20 +2,20 @@
 import { ListVersion } from '../routing/listVersion';
 
 /** The part of a leader's reply that tells the suspect requests. */
-export type SuspectNews = Pick<WatchReply, 'suspects' | 'suspectsRevision' | 'workersEpoch'>;
+export type SuspectUpdate = Pick<WatchReply, 'suspects' | 'suspectsRevision' | 'workersEpoch'>;
 
 /** The part of a question that tells which list is held. */
-export type SuspectListHeld = Pick<WatchRequest, 'suspectsEpoch' | 'suspectsRevision'>;
+export type SuspectListVersion = Pick<WatchRequest, 'suspectsEpoch' | 'suspectsRevision'>;
 
 /** A request that the leader watches or refuses. */
 export interface ListedSuspect {
   /** Servers that ended under it. */
-  readonly ends: number;
+  readonly crashCount: number;
   /** What is left of its refusal, in milliseconds; 0 while it is only watched. */
   readonly refusedMs: number;
 }
 
-interface HeldSuspect {
+interface StoredSuspect {
   readonly record: SuspectRecord;
   readonly refusedUntil: number;
 }
@@ -29,12 +29,12 @@
  * const suspect = list.find(fingerprint, clock.now());
  */
 export class SuspectList {
-  private suspects: ReadonlyMap<string, HeldSuspect> = new Map();
+  private suspects: ReadonlyMap<string, StoredSuspect> = new Map();
 
   private readonly version = new ListVersion();
 
   /** What is held, for the next question to a leader. */
-  get held(): SuspectListHeld {
+  get heldVersion(): SuspectListVersion {
     return { suspectsEpoch: this.version.epoch, suspectsRevision: this.version.revision };
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Takes in what the leader told; false when nothing changed. */
-  apply({ suspects, suspectsRevision, workersEpoch }: SuspectNews, now: number): boolean {
+  apply({ suspects, suspectsRevision, workersEpoch }: SuspectUpdate, now: number): boolean {
     if (!this.version.advance(workersEpoch, suspectsRevision)) return false;
     this.suspects = new Map(suspects.map((record) => (
       [record.fingerprint, { record, refusedUntil: now + record.refusedMs }])));
@@ -55,7 +55,7 @@
   find(fingerprint: string, now: number): ListedSuspect | undefined {
     const known = this.suspects.get(fingerprint);
     return known && {
-      ends: known.record.servers.length,
+      crashCount: known.record.servers.length,
       refusedMs: Math.max(0, known.refusedUntil - now),
     };
   }
--- a/src/core/quarantine/suspectRecords.ts
+++ b/src/core/quarantine/suspectRecords.ts
@@ -1,7 +1,7 @@
 /** How suspect requests travel: to entries, to replicas that follow, and to the disk. */
 import type { SuspectRecord } from '../../protocol/generated/beechlift';
 import {
-  computeRefusedMs, findStage, findSuspect, weighSuspect,
+  computeRemainingRefusalMs, findStage, findOrMakeSuspect, computeSuspectWeight,
 } from './crashTable';
 import type { CrashTable, Suspect } from './crashTable';
 
@@ -11,10 +11,10 @@
 const toRecord = (suspect: Suspect, now: number): SuspectRecord => ({
   fingerprint: suspect.fingerprint,
   servers: [...suspect.servers],
-  weight: weighSuspect(suspect),
-  bound: suspect.bound,
+  weight: computeSuspectWeight(suspect),
+  bound: suspect.refusalThreshold,
   refusals: suspect.refusals,
-  refusedMs: computeRefusedMs(suspect, now),
+  refusedMs: computeRemainingRefusalMs(suspect, now),
 });
 
 /**
@@ -38,12 +38,12 @@
  * records.forEach((record) => adoptSuspect(table, record, clock.now()));
  */
 export const adoptSuspect = (table: CrashTable, record: SuspectRecord, now: number): void => {
-  const suspect = findSuspect(table, record.fingerprint, now);
+  const suspect = findOrMakeSuspect(table, record.fingerprint, now);
   if (!suspect) return;
   record.servers.forEach((server) => suspect.servers.add(server));
-  suspect.moments.clear();
-  suspect.carried = record.weight;
-  suspect.bound = record.bound;
+  suspect.crashGroups.clear();
+  suspect.inheritedWeight = record.weight;
+  suspect.refusalThreshold = record.bound;
   suspect.refusals = record.refusals;
   suspect.refusedUntil = record.refusedMs > 0 ? now + record.refusedMs : -Infinity;
 };
--- a/src/core/routing/accountBudget.ts
+++ b/src/core/routing/accountBudget.ts
@@ -18,7 +18,7 @@
 /** Bounds the table: accounts that are no longer named are forgotten beyond it. */
 const MAX_ACCOUNTS = 20_000;
 /** Shortest time after which a caller over its limit may come back, in milliseconds. */
-const MIN_WAIT_MS = 250;
+const MIN_RETRY_MS = 250;
 
 /**
  * Lets requests through while the account's loan is not used up. One request may overdraw it, which
@@ -34,14 +34,14 @@
   /** Takes in loans: each counts from the total that it was granted on. */
   applyGrants(grants: readonly AccountGrant[], now: number): void {
     grants.forEach(({ account, units, reportedTotal }) => {
-      this.findBudget(account, now).until = reportedTotal + units;
+      this.findOrMakeBudget(account, now).until = reportedTotal + units;
     });
   }
 
   /** Takes what a request costs; false when the account's loan is used up. */
-  take(account: RoutedAccount, cost: number, now: number): boolean {
-    const budget = this.findBudget(account.name, now);
-    budget.demand = this.fade(budget, now) + cost / (DEMAND_WINDOW_MS / MS_PER_SECOND);
+  trySpend(account: RoutedAccount, cost: number, now: number): boolean {
+    const budget = this.findOrMakeBudget(account.name, now);
+    budget.demand = this.computeCurrentDemand(budget, now) + cost / (DEMAND_WINDOW_MS / MS_PER_SECOND);
     budget.demandAt = now;
     if (account.perSecond > 0 && budget.total >= budget.until) return false;
     budget.total += cost;
@@ -49,20 +49,20 @@
   }
 
   /** Milliseconds until the account's limit is likely to hold something for this entry again. */
-  estimateWaitMs(account: RoutedAccount): number {
+  estimateRetryMs(account: RoutedAccount): number {
     const budget = this.budgets.get(account.name);
     const missing = Math.max(0, (budget?.total ?? 0) - (budget?.until ?? 0));
-    return MIN_WAIT_MS + (missing / Math.max(1, account.perSecond)) * MS_PER_SECOND;
+    return MIN_RETRY_MS + (missing / Math.max(1, account.perSecond)) * MS_PER_SECOND;
   }
 
   /** What was let through and asked for, for the leader. */
   listSpends(now: number): AccountSpend[] {
     return [...this.budgets].map(([account, budget]) => ({
-      account, total: budget.total, demand: this.fade(budget, now),
+      account, total: budget.total, demand: this.computeCurrentDemand(budget, now),
     }));
   }
 
-  private findBudget(account: string, now: number): Budget {
+  private findOrMakeBudget(account: string, now: number): Budget {
     const known = this.budgets.get(account);
     if (known) return known;
     if (this.budgets.size >= MAX_ACCOUNTS) this.budgets.delete([...this.budgets.keys()][0] ?? '');
@@ -73,7 +73,7 @@
     return budget;
   }
 
-  private fade(budget: Budget, now: number): number {
+  private computeCurrentDemand(budget: Budget, now: number): number {
     return budget.demand * Math.exp((budget.demandAt - now) / DEMAND_WINDOW_MS);
   }
 }
--- a/src/core/routing/accountDemand.ts
+++ b/src/core/routing/accountDemand.ts
@@ -4,7 +4,7 @@
 interface RankDemand {
   perSecond: number;
   /** When it was last brought up to date, monotonic milliseconds. */
-  at: number;
+  updatedAt: number;
 }
 
 /** Demand of one account by rank. */
@@ -14,12 +14,12 @@
 const WINDOW_MS = 2_000;
 const MS_PER_SECOND = 1_000;
 
-const fade = ({ perSecond, at }: RankDemand, now: number): number => (
+const computeCurrentDemand = ({ perSecond, updatedAt: at }: RankDemand, now: number): number => (
   perSecond * Math.exp((at - now) / WINDOW_MS)
 );
 
 /** Counts a request, let through or not. */
-export const noteDemand = (
+export const recordDemand = (
   demand: AccountDemand,
   rank: number,
   cost: number,
@@ -27,11 +27,11 @@
 ): void => {
   const known = demand.get(rank);
   const added = (cost * MS_PER_SECOND) / WINDOW_MS;
-  demand.set(rank, { perSecond: (known ? fade(known, now) : 0) + added, at: now });
+  demand.set(rank, { perSecond: (known ? computeCurrentDemand(known, now) : 0) + added, updatedAt: now });
 };
 
 const sumDemand = (ranks: readonly RankDemand[], now: number): number => (
-  ranks.reduce((sum, item) => sum + fade(item, now), 0)
+  ranks.reduce((sum, item) => sum + computeCurrentDemand(item, now), 0)
 );
 
 /**
--- a/src/core/routing/answerTime.ts
+++ b/src/core/routing/answerTime.ts
@@ -1,6 +1,6 @@
 /** How long the whole answer to a request of a model may take at a backend server. */
-import { isLearnt, readLine } from './lineFit';
-import { findWork } from './routedWorkers';
+import { hasEnoughSamples, estimateAt } from './linearFit';
+import { findServiceStats } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers } from './routedWorkers';
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 
@@ -13,15 +13,15 @@
 }
 
 /** Part of the time left that an answer may be estimated to need, as speeds vary. */
-const USABLE_TIME = 0.8;
+const USABLE_TIME_SHARE = 0.8;
 
 const estimateFastestMs = (
   workers: RoutedWorkers,
   { service, promptTokens, outputTokens }: AnswerSize,
 ): number => {
-  const { firstEvent, output } = findWork(workers, service);
-  if (!isLearnt(firstEvent) || !isLearnt(output)) return Infinity;
-  return readLine(firstEvent, promptTokens) + readLine(output, outputTokens);
+  const { firstEvent, output } = findServiceStats(workers, service);
+  if (!hasEnoughSamples(firstEvent) || !hasEnoughSamples(output)) return Infinity;
+  return estimateAt(firstEvent, promptTokens) + estimateAt(output, outputTokens);
 };
 
 /**
@@ -32,7 +32,7 @@
  * const size = { service: 'scribe', promptTokens: 900, outputTokens: 400 };
  * canEndWithin(workers, size, 3_000, worker);
  */
-export const canEndWithin = (
+export const canFinishWithin = (
   workers: RoutedWorkers,
   size: AnswerSize,
   leftMs: number,
@@ -40,5 +40,5 @@
 ): boolean => {
   const fastestMs = findFastestPace(workers, size.service);
   const slowness = worker ? Math.max(1, estimateSlowness(workers, worker, fastestMs)) : 1;
-  return slowness * estimateFastestMs(workers, size) <= USABLE_TIME * leftMs;
+  return slowness * estimateFastestMs(workers, size) <= USABLE_TIME_SHARE * leftMs;
 };
--- a/src/core/routing/arrivals.ts
+++ b/src/core/routing/arrivalRates.ts
@@ -2,32 +2,32 @@
 interface Rate {
   perMs: number;
   /** When it was last brought up to date, monotonic milliseconds. */
-  at: number;
+  updatedAt: number;
 }
 
 /** Rates by service and rank. */
-export type Arrivals = Map<string, Map<number, Rate>>;
+export type ArrivalRates = Map<string, Map<number, Rate>>;
 
 /** Time over which a rate forgets, in milliseconds: short against a burst, long against a lull. */
 const WINDOW_MS = 1_500;
 
 /** Makes an empty table. */
-export const makeArrivals = (): Arrivals => new Map();
+export const makeArrivalRates = (): ArrivalRates => new Map();
 
-const readRate = ({ perMs, at }: Rate, now: number): number => (
+const computeCurrentRate = ({ perMs, updatedAt: at }: Rate, now: number): number => (
   perMs * Math.exp((at - now) / WINDOW_MS)
 );
 
 /** Counts an arrival. */
-export const noteArrival = (
-  arrivals: Arrivals,
+export const recordArrival = (
+  arrivals: ArrivalRates,
   service: string,
   rank: number,
   now: number,
 ): void => {
   const ranks = arrivals.get(service) ?? new Map<number, Rate>();
   const rate = ranks.get(rank);
-  ranks.set(rank, { perMs: (rate ? readRate(rate, now) : 0) + 1 / WINDOW_MS, at: now });
+  ranks.set(rank, { perMs: (rate ? computeCurrentRate(rate, now) : 0) + 1 / WINDOW_MS, updatedAt: now });
   arrivals.set(service, ranks);
 };
 
@@ -37,11 +37,11 @@
  * @example
  * const perMs = readHigherRate(arrivals, 'bale-scribe', 2, now); // ranks 0 and 1
  */
-export const readHigherRate = (
-  arrivals: Arrivals,
+export const sumHigherRates = (
+  arrivals: ArrivalRates,
   service: string,
   rank: number,
   now: number,
 ): number => [...(arrivals.get(service) ?? [])]
   .filter(([other]) => other < rank)
-  .reduce((sum, [, rate]) => sum + readRate(rate, now), 0);
+  .reduce((sum, [, rate]) => sum + computeCurrentRate(rate, now), 0);
--- a/src/core/routing/entryList.ts
+++ b/src/core/routing/entryList.ts
@@ -2,10 +2,10 @@
 import { ListVersion } from './listVersion';
 
 /** The part of a leader's reply that tells the entries. */
-export type EntryNews = Pick<WatchReply, 'entries' | 'entriesRevision' | 'workersEpoch'>;
+export type EntryUpdate = Pick<WatchReply, 'entries' | 'entriesRevision' | 'workersEpoch'>;
 
 /** The part of a question that tells which list is held. */
-export type EntryListHeld = Pick<WatchRequest, 'entriesEpoch' | 'entriesRevision'>;
+export type EntryListVersion = Pick<WatchRequest, 'entriesEpoch' | 'entriesRevision'>;
 
 /**
  * The entries that callers may be sent to, as the leader of control last told them: held by the
@@ -21,18 +21,18 @@
   private readonly version = new ListVersion();
 
   /** What is held, for the next question to a leader. */
-  get held(): EntryListHeld {
+  get heldVersion(): EntryListVersion {
     return { entriesEpoch: this.version.epoch, entriesRevision: this.version.revision };
   }
 
   /** Takes in what the leader told; a reply without the list says that nothing changed. */
-  apply({ entries, entriesRevision, workersEpoch }: EntryNews): void {
+  apply({ entries, entriesRevision, workersEpoch }: EntryUpdate): void {
     if (this.version.advance(workersEpoch, entriesRevision)) this.records = entries;
   }
 }
 
 /** Fewest entries of the caller's own availability zone that are named without the others. */
-const MIN_NEAR = 2;
+const MIN_SAME_ZONE = 2;
 
 /**
  * Picks the entries that a caller is told of: those of its own availability zone when there are
@@ -41,12 +41,12 @@
  * @example
  * const addresses = pickEntries(records, 'az-1', 64);
  */
-export const pickEntries = (
+export const selectEntries = (
   entries: readonly EntryRecord[],
   zone: string,
-  most: number,
+  limit: number,
 ): string[] => {
-  const near = entries.filter((entry) => entry.zone === zone);
-  const picked = near.length >= MIN_NEAR ? near : entries;
-  return picked.slice(0, most).map(({ callerAddress }) => callerAddress);
+  const sameZone = entries.filter((entry) => entry.zone === zone);
+  const picked = sameZone.length >= MIN_SAME_ZONE ? sameZone : entries;
+  return picked.slice(0, limit).map(({ callerAddress }) => callerAddress);
 };
--- a/src/core/routing/lineFit.ts
+++ b/src/core/routing/linearFit.ts
@@ -1,5 +1,5 @@
 /** A straight line through observations, of which older ones count less. */
-export interface LineFit {
+export interface LinearFit {
   weight: number;
   meanX: number;
   meanY: number;
@@ -7,13 +7,13 @@
   varianceX: number;
   covariance: number;
   /** Used until enough is known. */
-  readonly first: { readonly base: number; readonly slope: number };
+  readonly initial: { readonly base: number; readonly slope: number };
 }
 
 /** Weight of one observation: about fifty of them make up the line. */
 const SMOOTHING = 0.02;
 /** Observations before the line is believed. */
-const MIN_WEIGHT = 8;
+const MIN_SAMPLES = 8;
 
 /**
  * Makes a line from a first guess.
@@ -21,8 +21,8 @@
  * @example
  * const fit = makeLineFit(100, 0.02);
  */
-export const makeLineFit = (base: number, slope: number): LineFit => ({
-  weight: 0, meanX: 0, meanY: 0, varianceX: 0, covariance: 0, first: { base, slope },
+export const makeLinearFit = (base: number, slope: number): LinearFit => ({
+  weight: 0, meanX: 0, meanY: 0, varianceX: 0, covariance: 0, initial: { base, slope },
 });
 
 /**
@@ -31,7 +31,7 @@
  * @example
  * learnLine(fit, promptTokens, firstEventMs);
  */
-export const learnLine = (fit: LineFit, x: number, y: number): void => {
+export const addSample = (fit: LinearFit, x: number, y: number): void => {
   fit.weight += 1;
   const part = Math.max(SMOOTHING, 1 / fit.weight);
   const dx = x - fit.meanX;
@@ -43,12 +43,12 @@
 };
 
 /** Whether enough was observed for the line to be believed. */
-export const isLearnt = ({ weight }: LineFit): boolean => weight >= MIN_WEIGHT;
+export const hasEnoughSamples = ({ weight }: LinearFit): boolean => weight >= MIN_SAMPLES;
 
 /** Slope of the line, never below zero: more work takes no less time. */
-export const readSlope = (fit: LineFit): number => (
-  !isLearnt(fit) || fit.varianceX === 0
-    ? fit.first.slope
+export const estimateSlope = (fit: LinearFit): number => (
+  !hasEnoughSamples(fit) || fit.varianceX === 0
+    ? fit.initial.slope
     : Math.max(0, fit.covariance / fit.varianceX)
 );
 
@@ -58,8 +58,8 @@
  * @example
  * const expectedMs = readLine(fit, 3_700);
  */
-export const readLine = (fit: LineFit, x: number): number => (
-  !isLearnt(fit)
-    ? fit.first.base + fit.first.slope * x
-    : Math.max(0, fit.meanY + readSlope(fit) * (x - fit.meanX))
+export const estimateAt = (fit: LinearFit, x: number): number => (
+  !hasEnoughSamples(fit)
+    ? fit.initial.base + fit.initial.slope * x
+    : Math.max(0, fit.meanY + estimateSlope(fit) * (x - fit.meanX))
 );
--- a/src/core/routing/placement.ts
+++ b/src/core/routing/placement.ts
@@ -5,21 +5,21 @@
  * all send to the same engine, where requests then wait in the order they came while another engine
  * idles. Here every slot is known, none is given twice, and what waits is served by rank.
  */
-import { NO_CAUTION } from '../quarantine/placementCaution';
-import type { CautionFinder, CautionKind, PlacementCaution } from '../quarantine/placementCaution';
-import { makeArrivals, noteArrival } from './arrivals';
-import type { PlaceAsk, PlacedRequest, PlacementTables } from './placementTables';
-import { chooseAlone, chooseFree, readCaution } from './freeSlot';
-import { makeOrder } from './placementOrder';
-import { computePatienceMs, estimateWaitMs } from './placementWait';
+import { NO_RESTRICTION } from '../quarantine/placementRestriction';
+import type { RestrictionFinder, RestrictionKind, PlacementRestriction } from '../quarantine/placementRestriction';
+import { makeArrivalRates, recordArrival } from './arrivalRates';
+import type { SlotRequest, PlacedRequest, PlacementTables } from './placementTables';
+import { chooseIsolatedWorker, chooseFreeWorker, readRestriction } from './freeSlot';
+import { makeComparator } from './placementOrder';
+import { computeMaxWaitMs, estimateWaitMs } from './placementWait';
 import {
-  learnAnswer, learnPace, noteReached, suspendWorker,
+  recordAnswer, recordPace, clearSuspension, suspendWorker,
 } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers, TimedTokens } from './routedWorkers';
 import type { WorkerChoice } from './workerChoice';
 
 /** What was decided of a request. */
-export type PlaceDecision = | {
+export type PlacementDecision = | {
   readonly kind: 'grant';
   readonly id: string;
   readonly workerId: string;
@@ -34,7 +34,7 @@
   };
 
 /** How a placed request goes. */
-export interface PlacedNews {
+export interface PlacementUpdate {
   readonly id: string;
   readonly phase: 'running' | 'ended' | 'failed' | 'dropped' | 'rejected' | 'unreached';
   readonly paceMs: number;
@@ -49,34 +49,34 @@
  */
 const MIN_RETRY_MS = 2_000;
 const MAX_RETRY_MS = 5_000;
-const RETRY_STEPS = 8;
-const RETRY_STEP_MS = 250;
+const RETRY_SPREAD_STEPS = 8;
+const RETRY_SPREAD_STEP_MS = 250;
 /** Bounds what waits, over all services. */
 const MAX_WAITING = 4_096;
 
 /** Makes empty tables over the backend servers. */
-export const makePlacement = (
+export const makePlacementTables = (
   workers: RoutedWorkers,
-  findCaution: CautionFinder = () => NO_CAUTION,
+  findCaution: RestrictionFinder = () => NO_RESTRICTION,
 ): PlacementTables => ({
   workers,
   waiting: new Map(),
   placed: new Map(),
-  arrivals: makeArrivals(),
-  findCaution,
+  arrivalRates: makeArrivalRates(),
+  findRestriction: findCaution,
   refusals: 0,
 });
 
 const refuse = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   now: number,
   reason: string,
-): PlaceDecision => {
+): PlacementDecision => {
   tables.waiting.delete(ask.id);
   tables.refusals += 1;
   const waitMs = estimateWaitMs(tables, ask, now);
-  const spreadMs = (tables.refusals % RETRY_STEPS) * RETRY_STEP_MS;
+  const spreadMs = (tables.refusals % RETRY_SPREAD_STEPS) * RETRY_SPREAD_STEP_MS;
   return {
     kind: 'refuse',
     id: ask.id,
@@ -88,17 +88,17 @@
 
 const grant = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   { worker, waitMs, ownMs }: WorkerChoice,
   now: number,
-): PlaceDecision => {
+): PlacementDecision => {
   tables.waiting.delete(ask.id);
   tables.placed.set(ask.id, {
-    ask,
+    request: ask,
     worker,
     placedAt: now,
-    pendingBefore: worker.pendingTokens + worker.othersPendingTokens,
-    hasBegun: false,
+    pendingTokensBefore: worker.pendingTokens + worker.othersPendingTokens,
+    hasStarted: false,
   });
   worker.inFlight += 1;
   worker.pendingTokens += ask.promptTokens;
@@ -113,13 +113,13 @@
  */
 type FullServices = Set<string>;
 
-const nameFull = ({ service, avoidedIds = [] }: PlaceAsk): string => [service, ...avoidedIds].join(' ');
+const formatFullKey = ({ service, avoidedIds = [] }: SlotRequest): string => [service, ...avoidedIds].join(' ');
 
 const refuseQuarantined = (
   tables: PlacementTables,
-  ask: PlaceAsk,
-  { refusedMs }: PlacementCaution,
-): PlaceDecision => {
+  ask: SlotRequest,
+  { refusedMs }: PlacementRestriction,
+): PlacementDecision => {
   tables.waiting.delete(ask.id);
   return {
     kind: 'refuse',
@@ -130,35 +130,35 @@
   };
 };
 
-const chooseUnlessFull = (
+const chooseIfNotFull = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   full: FullServices,
   now: number,
 ): WorkerChoice | undefined => {
-  if (full.has(ask.service) || full.has(nameFull(ask))) return undefined;
-  const choice = chooseFree(tables, ask, now);
-  if (!choice) full.add(nameFull(ask));
+  if (full.has(ask.service) || full.has(formatFullKey(ask))) return undefined;
+  const choice = chooseFreeWorker(tables, ask, now);
+  if (!choice) full.add(formatFullKey(ask));
   return choice;
 };
 
 const decideWaiting = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   full: FullServices,
   now: number,
-): PlaceDecision | undefined => {
-  const caution = readCaution(tables, ask);
+): PlacementDecision | undefined => {
+  const caution = readRestriction(tables, ask);
   if (caution.kind === 'refused') return refuseQuarantined(tables, ask, caution);
-  const choosers: Record<CautionKind, () => WorkerChoice | undefined> = {
-    none: () => chooseUnlessFull(tables, ask, full, now),
-    alone: () => chooseAlone(tables, ask, now),
+  const choosers: Record<RestrictionKind, () => WorkerChoice | undefined> = {
+    none: () => chooseIfNotFull(tables, ask, full, now),
+    alone: () => chooseIsolatedWorker(tables, ask, now),
     held: () => undefined,
     refused: () => undefined,
   };
   const choice = choosers[caution.kind]();
   if (choice) return grant(tables, ask, choice, now);
-  const isOver = now - ask.askedAt > computePatienceMs(tables, ask);
+  const isOver = now - ask.askedAt > computeMaxWaitMs(tables, ask);
   return isOver ? refuse(tables, ask, now, 'no slot was free in time') : undefined;
 };
 
@@ -169,33 +169,33 @@
  * @example
  * const decisions = runPlacement(tables, clock.now());
  */
-export const runPlacement = (tables: PlacementTables, now: number): PlaceDecision[] => {
+export const placeWaiting = (tables: PlacementTables, now: number): PlacementDecision[] => {
   const full: FullServices = new Set();
   return [...tables.waiting.values()]
-    .sort(makeOrder(tables))
+    .sort(makeComparator(tables))
     .flatMap((ask) => decideWaiting(tables, ask, full, now) ?? []);
 };
 
 const addWaiting = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   now: number,
-): PlaceDecision | undefined => {
-  noteArrival(tables.arrivals, ask.service, ask.rank, now);
+): PlacementDecision | undefined => {
+  recordArrival(tables.arrivalRates, ask.service, ask.rank, now);
   if (tables.waiting.size >= MAX_WAITING) return refuse(tables, ask, now, 'too many requests wait');
   tables.waiting.set(ask.id, ask);
   return undefined;
 };
 
-const refuseHopeless = (
+const refuseLongWait = (
   tables: PlacementTables,
-  ask: PlaceAsk,
+  ask: SlotRequest,
   now: number,
-): PlaceDecision | undefined => {
-  const isHopeless = tables.workers.mechanisms.earlyRefusal
+): PlacementDecision | undefined => {
+  const isTooLong = tables.workers.mechanisms.earlyRefusal
     && tables.waiting.has(ask.id)
-    && estimateWaitMs(tables, ask, now) > computePatienceMs(tables, ask);
-  return isHopeless ? refuse(tables, ask, now, 'the wait for a slot would be too long') : undefined;
+    && estimateWaitMs(tables, ask, now) > computeMaxWaitMs(tables, ask);
+  return isTooLong ? refuse(tables, ask, now, 'the wait for a slot would be too long') : undefined;
 };
 
 /**
@@ -206,29 +206,29 @@
  * @example
  * const decisions = askPlaces(tables, [ask], clock.now());
  */
-export const askPlaces = (
+export const requestSlots = (
   tables: PlacementTables,
-  asks: readonly PlaceAsk[],
+  asks: readonly SlotRequest[],
   now: number,
-): PlaceDecision[] => {
+): PlacementDecision[] => {
   const fresh = asks.filter(({ id }) => !tables.waiting.has(id) && !tables.placed.has(id));
-  const turnedAway = fresh.flatMap((ask) => addWaiting(tables, ask, now) ?? []);
-  const decisions = runPlacement(tables, now);
-  const hopeless = [...fresh]
-    .sort(makeOrder(tables))
+  const refusedAsFull = fresh.flatMap((ask) => addWaiting(tables, ask, now) ?? []);
+  const decisions = placeWaiting(tables, now);
+  const refusedForWait = [...fresh]
+    .sort(makeComparator(tables))
     .reverse()
-    .flatMap((ask) => refuseHopeless(tables, ask, now) ?? []);
-  return [...turnedAway, ...decisions, ...hopeless];
+    .flatMap((ask) => refuseLongWait(tables, ask, now) ?? []);
+  return [...refusedAsFull, ...decisions, ...refusedForWait];
 };
 
 /** Takes a request out that nobody waits for any more. */
-export const dropWaiting = (tables: PlacementTables, id: string): void => {
+export const removeWaiting = (tables: PlacementTables, id: string): void => {
   tables.waiting.delete(id);
 };
 
 const releaseSlot = (
   tables: PlacementTables,
-  { ask, worker, hasBegun }: PlacedRequest,
+  { request: ask, worker, hasStarted: hasBegun }: PlacedRequest,
 ): RoutedWorker => {
   tables.placed.delete(ask.id);
   worker.inFlight -= 1;
@@ -236,44 +236,44 @@
   return worker;
 };
 
-const noteBegun = (placed: PlacedRequest): void => {
-  if (placed.hasBegun) return;
-  placed.hasBegun = true;
-  placed.worker.pendingTokens -= placed.ask.promptTokens;
+const markStarted = (placed: PlacedRequest): void => {
+  if (placed.hasStarted) return;
+  placed.hasStarted = true;
+  placed.worker.pendingTokens -= placed.request.promptTokens;
 };
 
-const makeTimed = (ms: number, tokens: number): TimedTokens | undefined => (
+const makeTimedTokens = (ms: number, tokens: number): TimedTokens | undefined => (
   ms > 0 ? { ms, tokens } : undefined
 );
 
-type NewsHandler = (
-  tables: PlacementTables, placed: PlacedRequest, news: PlacedNews, now: number,
+type UpdateHandler = (
+  tables: PlacementTables, placed: PlacedRequest, news: PlacementUpdate, now: number,
 ) => void;
 
-const learnEnd = (isFailed: boolean): NewsHandler => (tables, placed, news, now) => {
-  const { ask, placedAt, pendingBefore } = placed;
+const makeEndHandler = (isFailed: boolean): UpdateHandler => (tables, placed, news, now) => {
+  const { request: ask, placedAt, pendingTokensBefore: pendingBefore } = placed;
   const worker = releaseSlot(tables, placed);
-  if (!isFailed) noteReached(worker);
-  learnAnswer(tables.workers, worker, {
+  if (!isFailed) clearSuspension(worker);
+  recordAnswer(tables.workers, worker, {
     holdMs: now - placedAt,
     paceMs: 0,
-    firstEvent: makeTimed(news.firstEventMs, ask.promptTokens + pendingBefore),
-    output: makeTimed(news.outputMs, ask.outputTokens),
+    firstEvent: makeTimedTokens(news.firstEventMs, ask.promptTokens + pendingBefore),
+    output: makeTimedTokens(news.outputMs, ask.outputTokens),
     failed: isFailed,
   });
 };
 
-const suspend: NewsHandler = (tables, placed, news, now) => {
+const suspend: UpdateHandler = (tables, placed, news, now) => {
   suspendWorker(releaseSlot(tables, placed), now);
 };
 
-const newsHandlers: Record<PlacedNews['phase'], NewsHandler> = {
+const updateHandlers: Record<PlacementUpdate['phase'], UpdateHandler> = {
   running: (tables, placed, news) => {
-    noteBegun(placed);
-    if (news.paceMs > 0) learnPace(placed.worker, news.paceMs);
+    markStarted(placed);
+    if (news.paceMs > 0) recordPace(placed.worker, news.paceMs);
   },
-  ended: learnEnd(false),
-  failed: learnEnd(true),
+  ended: makeEndHandler(false),
+  failed: makeEndHandler(true),
   dropped: (tables, placed) => {
     releaseSlot(tables, placed);
   },
@@ -287,10 +287,10 @@
  * @example
  * notePlaced(tables, { id, phase: 'ended', paceMs: 0, firstEventMs: 180, outputMs: 640 }, now);
  */
-export const notePlaced = (tables: PlacementTables, news: PlacedNews, now: number): void => {
+export const applyPlacementUpdate = (tables: PlacementTables, news: PlacementUpdate, now: number): void => {
   const placed = tables.placed.get(news.id);
-  if (placed) newsHandlers[news.phase](tables, placed, news, now);
-  else if (news.phase === 'dropped') dropWaiting(tables, news.id);
+  if (placed) updateHandlers[news.phase](tables, placed, news, now);
+  else if (news.phase === 'dropped') removeWaiting(tables, news.id);
 };
 
 /**
@@ -300,13 +300,13 @@
  * @example
  * keepPlaced(tables, 'e1', new Set(['p7']));
  */
-export const keepPlaced = (
+export const retainPlaced = (
   tables: PlacementTables,
   entryId: string,
   held: ReadonlySet<string>,
 ): void => {
   [...tables.placed.values()]
-    .filter(({ ask }) => ask.entryId === entryId && !held.has(ask.id))
+    .filter(({ request: ask }) => ask.entryId === entryId && !held.has(ask.id))
     .forEach((placed) => releaseSlot(tables, placed));
 };
 
@@ -323,7 +323,7 @@
   now: number,
 ): void => {
   [...tables.placed.values()]
-    .filter(({ ask }) => now > ask.deadlineAt || !isThere(ask.entryId))
+    .filter(({ request: ask }) => now > ask.deadlineAt || !isThere(ask.entryId))
     .forEach((placed) => releaseSlot(tables, placed));
   [...tables.waiting.values()]
     .filter(({ entryId }) => !isThere(entryId))
--- a/src/core/routing/placementOrder.ts
+++ b/src/core/routing/placementOrder.ts
@@ -1,12 +1,12 @@
 /** In which order requests that wait for a slot get one. */
-import { readLine } from './lineFit';
-import type { PlaceAsk, PlacementTables } from './placementTables';
-import { findWork } from './routedWorkers';
+import { estimateAt } from './linearFit';
+import type { SlotRequest, PlacementTables } from './placementTables';
+import { findServiceStats } from './routedWorkers';
 
 /** Milliseconds that a request is expected to hold a slot of the fastest engine. */
-const estimateHoldMs = ({ workers }: PlacementTables, ask: PlaceAsk): number => {
-  const { firstEvent, output } = findWork(workers, ask.service);
-  return readLine(firstEvent, ask.promptTokens) + readLine(output, ask.outputTokens);
+const estimateHoldMs = ({ workers }: PlacementTables, ask: SlotRequest): number => {
+  const { firstEvent, output } = findServiceStats(workers, ask.service);
+  return estimateAt(firstEvent, ask.promptTokens) + estimateAt(output, ask.outputTokens);
 };
 
 /**
@@ -19,12 +19,12 @@
  * @example
  * waiting.sort(makeOrder(tables));
  */
-export const makeOrder = (
+export const makeComparator = (
   tables: PlacementTables,
-): (a: PlaceAsk, b: PlaceAsk) => number => {
+): (a: SlotRequest, b: SlotRequest) => number => {
   const isByLength = tables.workers.mechanisms.shortestFirst;
   const holds = new Map<string, number>();
-  const readHold = (ask: PlaceAsk): number => {
+  const readHold = (ask: SlotRequest): number => {
     const known = holds.get(ask.id) ?? estimateHoldMs(tables, ask);
     holds.set(ask.id, known);
     return known;
--- a/src/core/routing/placementTables.ts
+++ b/src/core/routing/placementTables.ts
@@ -1,10 +1,10 @@
 /** What placing requests on model engines rests on. */
-import type { CautionFinder } from '../quarantine/placementCaution';
-import type { Arrivals } from './arrivals';
+import type { RestrictionFinder } from '../quarantine/placementRestriction';
+import type { ArrivalRates } from './arrivalRates';
 import type { RoutedWorker, RoutedWorkers } from './routedWorkers';
 
 /** A request that asks for a slot. */
-export interface PlaceAsk {
+export interface SlotRequest {
   readonly id: string;
   readonly entryId: string;
   readonly service: string;
@@ -26,25 +26,25 @@
 
 /** A request that holds a slot. */
 export interface PlacedRequest {
-  readonly ask: PlaceAsk;
+  readonly request: SlotRequest;
   /** The start of the server that it was placed on; another one under the same id holds nothing. */
   readonly worker: RoutedWorker;
   readonly placedAt: number;
   /** Prompt tokens that its server was to read before its own when it was placed. */
-  readonly pendingBefore: number;
-  hasBegun: boolean;
+  readonly pendingTokensBefore: number;
+  hasStarted: boolean;
 }
 
 /** Part of a report on a placed request that says nothing of times. */
-export const NO_TIMES = { paceMs: 0, firstEventMs: 0, outputMs: 0 } as const;
+export const NO_TIMINGS = { paceMs: 0, firstEventMs: 0, outputMs: 0 } as const;
 
 /** All that placing rests on. */
 export interface PlacementTables {
   readonly workers: RoutedWorkers;
-  readonly waiting: Map<string, PlaceAsk>;
+  readonly waiting: Map<string, SlotRequest>;
   readonly placed: Map<string, PlacedRequest>;
-  readonly arrivals: Arrivals;
-  readonly findCaution: CautionFinder;
+  readonly arrivalRates: ArrivalRates;
+  readonly findRestriction: RestrictionFinder;
   /** Refusals so far, by which those that come back are spread. */
   refusals: number;
 }
--- a/src/core/routing/retryAllowance.ts
+++ b/src/core/routing/retryBudget.ts
@@ -10,13 +10,13 @@
 }
 
 /** Repeats that one service has left. */
-interface Allowance {
+interface ServiceBudget {
   left: number;
   refilledAt: number;
 }
 
 /** Part of the bounds that is used: the rest covers entries that start anew with a full share. */
-const USED_PART = 0.5;
+const USED_SHARE = 0.5;
 
 /**
  * Counts repeats by service. Each request adds the ratio, and the slack is refilled over the
@@ -26,8 +26,8 @@
  * allowance.noteRequest('rooms');
  * if (allowance.take('rooms', clock.now())) sendAgain();
  */
-export class RetryAllowance {
-  private readonly byService = new Map<string, Allowance>();
+export class RetryBudget {
+  private readonly byService = new Map<string, ServiceBudget>();
 
   constructor(
     private readonly bounds: RetryBounds,
@@ -35,9 +35,9 @@
   ) {}
 
   /** Counts a request of the service. */
-  noteRequest(service: string, now: number): void {
+  recordRequest(service: string, now: number): void {
     const allowance = this.refill(service, now);
-    allowance.left = Math.min(this.most, allowance.left + this.bounds.ratio * USED_PART);
+    allowance.left = Math.min(this.capacity, allowance.left + this.bounds.ratio * USED_SHARE);
   }
 
   /** Takes one repeat, when there is one left. */
@@ -51,22 +51,22 @@
   /** Gives back a repeat that was taken and not made. */
   refund(service: string, now: number): void {
     const allowance = this.refill(service, now);
-    allowance.left = Math.min(this.most, allowance.left + 1);
+    allowance.left = Math.min(this.capacity, allowance.left + 1);
   }
 
-  private get most(): number {
-    return Math.max(1, (this.bounds.slack * USED_PART) / Math.max(1, this.readEntryCount()));
+  private get capacity(): number {
+    return Math.max(1, (this.bounds.slack * USED_SHARE) / Math.max(1, this.readEntryCount()));
   }
 
-  private refill(service: string, now: number): Allowance {
+  private refill(service: string, now: number): ServiceBudget {
     const known = this.byService.get(service);
     if (!known) {
-      const fresh = { left: this.most / 2, refilledAt: now };
+      const fresh = { left: this.capacity / 2, refilledAt: now };
       this.byService.set(service, fresh);
       return fresh;
     }
-    const gained = (this.most * (now - known.refilledAt)) / (2 * this.bounds.windowMs);
-    known.left = Math.min(this.most, known.left + gained);
+    const gained = (this.capacity * (now - known.refilledAt)) / (2 * this.bounds.windowMs);
+    known.left = Math.min(this.capacity, known.left + gained);
     known.refilledAt = now;
     return known;
   }
--- a/src/core/routing/routeTable.ts
+++ b/src/core/routing/routeTable.ts
@@ -4,7 +4,7 @@
 
 const removePort = (host: string): string => host.replace(/:\d+$/, '').toLowerCase();
 
-const cutQuery = (target: string): string => {
+const removeQuery = (target: string): string => {
   const end = target.indexOf('?');
   return end < 0 ? target : target.slice(0, end);
 };
@@ -34,17 +34,17 @@
 
   private readonly accountsByKey: ReadonlyMap<string, RoutedAccount>;
 
-  private readonly firstAccountRank: number;
+  private readonly minAccountRank: number;
 
   /** Ranks that routes have, 0 included. */
-  private readonly routeRanks: number;
+  private readonly routeRankCount: number;
 
   constructor(readonly routing: Routing) {
-    this.firstAccountRank = routing.accounts.reduce(
+    this.minAccountRank = routing.accounts.reduce(
       (least, { rank }) => Math.min(least, rank ?? 0),
       Infinity,
     );
-    this.routeRanks = 1 + routing.routes.reduce((most, { rank }) => Math.max(most, rank), 0);
+    this.routeRankCount = 1 + routing.routes.reduce((most, { rank }) => Math.max(most, rank), 0);
     this.hosts = indexByHost(routing.routes);
     this.services = new Map(routing.services.map((service) => [service.name, service]));
     this.accountsByKey = new Map(routing.accounts.flatMap(
@@ -61,7 +61,7 @@
   findRoute(host: string, target: string): Route | undefined {
     const prefixes = this.hosts.get(removePort(host));
     if (!prefixes) return undefined;
-    let path = cutQuery(target);
+    let path = removeQuery(target);
     let end = path.lastIndexOf('/');
     while (end >= 0) {
       path = path.slice(0, end + 1);
@@ -82,8 +82,8 @@
    * many steps as routes have ranks; where all accounts have the same, the routes' decide alone.
    */
   computeRank(route: Route, account: RoutedAccount | undefined): number {
-    const steps = account ? (account.rank ?? 0) - this.firstAccountRank : 0;
-    return route.rank + steps * this.routeRanks;
+    const steps = account ? (account.rank ?? 0) - this.minAccountRank : 0;
+    return route.rank + steps * this.routeRankCount;
   }
 
   /** A service by name. */
--- a/src/core/routing/routedWorkers.ts
+++ b/src/core/routing/routedWorkers.ts
@@ -1,10 +1,10 @@
 import type { WorkerLoad, WorkerRecord } from '../../protocol/generated/beechlift';
-import { learnLine, makeLineFit } from './lineFit';
-import type { LineFit } from './lineFit';
+import { addSample, makeLinearFit } from './linearFit';
+import type { LinearFit } from './linearFit';
 import { makeMechanisms } from './mechanisms';
 import type { Mechanisms } from './mechanisms';
-import { NO_REST } from './workerRest';
-import type { WorkerRest } from './workerRest';
+import { NO_BACKOFF } from './workerBackoff';
+import type { WorkerBackoff } from './workerBackoff';
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 import type { WorkerStanding } from './workerTable';
 
@@ -38,21 +38,21 @@
   /** No request before this, monotonic milliseconds. */
   suspendedUntil: number;
   /** How long the next suspension lasts. */
-  pauseMs: number;
+  suspensionMs: number;
   /** What it asked this entry for. */
-  rest: WorkerRest;
+  backoff: WorkerBackoff;
   /** Whether it said in an answer that it leaves. */
   isLeaving: boolean;
 }
 
 /** What is known of the work of a service, over all its backend servers. */
-export interface ServiceWork {
+export interface ServiceStats {
   /** Smoothed time that a request holds a slot, in milliseconds. */
   holdMs: number;
   /** Time to the first event on the fastest server, by prompt tokens to be read until then. */
-  readonly firstEvent: LineFit;
+  readonly firstEvent: LinearFit;
   /** Time from the first event to the last on the fastest server, by output tokens allowed. */
-  readonly output: LineFit;
+  readonly output: LinearFit;
   failureShare: number;
 }
 
@@ -60,7 +60,7 @@
 export interface RoutedWorkers {
   readonly byId: Map<string, RoutedWorker>;
   readonly byService: Map<string, RoutedWorker[]>;
-  readonly work: Map<string, ServiceWork>;
+  readonly serviceStats: Map<string, ServiceStats>;
   /** Requests that this entry may have at one server at a time, by service; none: no bound. */
   connectionShares: ReadonlyMap<string, number>;
   readonly mechanisms: Mechanisms;
@@ -85,17 +85,17 @@
 }
 
 /** First guesses, replaced by what is observed: those of a mid-sized engine. */
-const FIRST_HOLD_MS = 500;
-const FIRST_BASE_MS = 100;
-const FIRST_TOKEN_MS = 0.02;
-const FIRST_OUTPUT_TOKEN_MS = 5;
+const INITIAL_HOLD_MS = 500;
+const INITIAL_BASE_MS = 100;
+const INITIAL_PROMPT_TOKEN_MS = 0.02;
+const INITIAL_OUTPUT_TOKEN_MS = 5;
 
 /** Weight of one observation: about ten of them replace what was known. */
 const SMOOTHING = 0.2;
 
 /** Shortest and longest time a server is left alone after a request did not arrive there. */
-const FIRST_PAUSE_MS = 300;
-const MAX_PAUSE_MS = 5_000;
+const MIN_SUSPENSION_MS = 300;
+const MAX_SUSPENSION_MS = 5_000;
 
 const smooth = (old: number, sample: number): number => old + SMOOTHING * (sample - old);
 
@@ -103,7 +103,7 @@
 export const makeRoutedWorkers = (mechanisms = makeMechanisms()): RoutedWorkers => ({
   byId: new Map(),
   byService: new Map(),
-  work: new Map(),
+  serviceStats: new Map(),
   connectionShares: new Map(),
   mechanisms,
 });
@@ -127,8 +127,8 @@
   othersSlowness: 0,
   failureShare: 0,
   suspendedUntil: 0,
-  pauseMs: FIRST_PAUSE_MS,
-  rest: NO_REST,
+  suspensionMs: MIN_SUSPENSION_MS,
+  backoff: NO_BACKOFF,
   isLeaving: false,
 });
 
@@ -147,14 +147,14 @@
  * start before: pace, failures, pauses and the requests that it held. Requests that are still
  * open towards the earlier start go on counting at the entity they were sent to.
  */
-const findStart = ({ byId }: RoutedWorkers, id: string, born: number): RoutedWorker => {
+const findOrMakeWorker = ({ byId }: RoutedWorkers, id: string, born: number): RoutedWorker => {
   const known = byId.get(id);
   return known?.born === born ? known : makeWorker(id, born);
 };
 
 const applyRecord = (workers: RoutedWorkers, { said, standing }: WorkerRecord): void => {
   if (!said) return;
-  const worker = findStart(workers, said.workerId, said.born);
+  const worker = findOrMakeWorker(workers, said.workerId, said.born);
   worker.service = said.service || worker.service;
   worker.address = said.address || worker.address;
   worker.zone = said.zone || worker.zone;
@@ -164,7 +164,7 @@
   workers.byId.set(worker.id, worker);
 };
 
-const forgetGone = (workers: RoutedWorkers): void => {
+const removeGone = (workers: RoutedWorkers): void => {
   [...workers.byId.values()]
     .filter(({ standing, inFlight }) => standing === 'gone' && inFlight === 0)
     .forEach(({ id }) => workers.byId.delete(id));
@@ -182,7 +182,7 @@
 ): void => {
   if (records.length === 0) return;
   records.forEach((record) => applyRecord(workers, record));
-  forgetGone(workers);
+  removeGone(workers);
   indexByService(workers);
 };
 
@@ -203,7 +203,7 @@
 };
 
 /** A service, and the connections that each of its servers takes from all entries together. */
-export interface BoundedService {
+export interface ConnectionLimit {
   readonly name: string;
   /** 0 where there is no bound. */
   readonly maxConnections: number;
@@ -220,7 +220,7 @@
  */
 export const setConnectionShares = (
   workers: RoutedWorkers,
-  services: readonly BoundedService[],
+  services: readonly ConnectionLimit[],
   entryCount: number,
 ): void => {
   workers.connectionShares = new Map(services
@@ -230,55 +230,55 @@
 };
 
 /** What is known of a service's work. */
-export const findWork = (workers: RoutedWorkers, service: string): ServiceWork => {
-  const known = workers.work.get(service);
+export const findServiceStats = (workers: RoutedWorkers, service: string): ServiceStats => {
+  const known = workers.serviceStats.get(service);
   if (known) return known;
   const work = {
-    holdMs: FIRST_HOLD_MS,
-    firstEvent: makeLineFit(FIRST_BASE_MS, FIRST_TOKEN_MS),
-    output: makeLineFit(0, FIRST_OUTPUT_TOKEN_MS),
+    holdMs: INITIAL_HOLD_MS,
+    firstEvent: makeLinearFit(INITIAL_BASE_MS, INITIAL_PROMPT_TOKEN_MS),
+    output: makeLinearFit(0, INITIAL_OUTPUT_TOKEN_MS),
     failureShare: 0,
   };
-  workers.work.set(service, work);
+  workers.serviceStats.set(service, work);
   return work;
 };
 
-const learnTimed = (fit: LineFit, { ms, tokens }: TimedTokens, slowness: number): void => {
-  learnLine(fit, tokens, ms / slowness);
+const addTimedSample = (fit: LinearFit, { ms, tokens }: TimedTokens, slowness: number): void => {
+  addSample(fit, tokens, ms / slowness);
 };
 
 /**
  * Learns how long a unit of work takes at a server: of a stream while it runs, as a slow server is
  * to be known before its first long stream has ended.
  */
-export const learnPace = (worker: RoutedWorker, paceMs: number): void => {
+export const recordPace = (worker: RoutedWorker, paceMs: number): void => {
   worker.paceMs = worker.paceSamples === 0 ? paceMs : smooth(worker.paceMs, paceMs);
   worker.paceSamples += 1;
 };
 
 /** Learns from one answer. */
-export const learnAnswer = (
+export const recordAnswer = (
   workers: RoutedWorkers,
   worker: RoutedWorker,
   sample: AnswerSample,
 ): void => {
-  const work = findWork(workers, worker.service);
+  const work = findServiceStats(workers, worker.service);
   worker.failureShare = smooth(worker.failureShare, sample.failed ? 1 : 0);
   work.failureShare = smooth(work.failureShare, sample.failed ? 1 : 0);
   if (sample.failed) return;
   work.holdMs = smooth(work.holdMs, sample.holdMs);
   const fastestMs = findFastestPace(workers, worker.service);
   const slowness = Math.max(1, estimateSlowness(workers, worker, fastestMs));
-  if (sample.firstEvent) learnTimed(work.firstEvent, sample.firstEvent, slowness);
-  if (sample.output) learnTimed(work.output, sample.output, slowness);
-  if (sample.paceMs > 0) learnPace(worker, sample.paceMs);
+  if (sample.firstEvent) addTimedSample(work.firstEvent, sample.firstEvent, slowness);
+  if (sample.output) addTimedSample(work.output, sample.output, slowness);
+  if (sample.paceMs > 0) recordPace(worker, sample.paceMs);
 };
 
 /** A request did not arrive at a server, or its connection broke: it is left alone for a while. */
 export const suspendWorker = (worker: RoutedWorker, now: number): void => {
   if (now < worker.suspendedUntil) return;
-  worker.suspendedUntil = now + worker.pauseMs;
-  worker.pauseMs = Math.min(MAX_PAUSE_MS, worker.pauseMs * 2);
+  worker.suspendedUntil = now + worker.suspensionMs;
+  worker.suspensionMs = Math.min(MAX_SUSPENSION_MS, worker.suspensionMs * 2);
 };
 
 /** Whether a server takes new requests, by what control told and by its own answers. */
@@ -287,20 +287,20 @@
 );
 
 /** Whether requests may be expected to arrive at a server. */
-export const isInReach = (
+export const isReachable = (
   { mechanisms }: RoutedWorkers,
   { suspendedUntil }: RoutedWorker,
   now: number,
 ): boolean => now >= suspendedUntil || !mechanisms.suspension;
 
 /** A request was answered by a server: it is in reach. */
-export const noteReached = (worker: RoutedWorker): void => {
+export const clearSuspension = (worker: RoutedWorker): void => {
   worker.suspendedUntil = 0;
-  worker.pauseMs = FIRST_PAUSE_MS;
+  worker.suspensionMs = MIN_SUSPENSION_MS;
 };
 
 /** Another leader knows nothing of what the one before placed. */
-export const forgetPlaced = (workers: RoutedWorkers): void => {
+export const resetPlaced = (workers: RoutedWorkers): void => {
   workers.byId.forEach((worker) => {
     worker.placed = 0;
   });
--- a/src/core/routing/workerRest.ts
+++ b/src/core/routing/workerBackoff.ts
@@ -4,26 +4,26 @@
  */
 
 /** A rest, and what was sent to the server in it. */
-export interface WorkerRest {
+export interface WorkerBackoff {
   /** When it began and when it is over, monotonic milliseconds. */
-  readonly from: number;
+  readonly startedAt: number;
   readonly until: number;
   /** Requests that were sent there since it began. */
-  readonly probes: number;
+  readonly probeCount: number;
 }
 
 /** The rest of a server that never asked for one. */
-export const NO_REST: WorkerRest = { from: -Infinity, until: -Infinity, probes: 0 };
+export const NO_BACKOFF: WorkerBackoff = { startedAt: -Infinity, until: -Infinity, probeCount: 0 };
 
 /** Longest rest that is believed, so that a faulty server is not left alone for good. */
-const MAX_REST_MS = 300_000;
+const MAX_BACKOFF_MS = 300_000;
 /** Requests that a server gets in its rest at most, where its service has no other one left. */
 const MAX_PROBES = 2;
 
 /** Shortest time over which callers that were refused together come back, in milliseconds. */
 const MIN_SPREAD_MS = 250;
 /** Part of a rest over which they come back, where that is longer. */
-const SPREAD_PART = 0.25;
+const SPREAD_SHARE = 0.25;
 /** Longest time that a caller is told: a server may start meanwhile. */
 const MAX_RETRY_MS = 10_000;
 
@@ -33,7 +33,7 @@
  * @example
  * if (!isResting(worker.rest, clock.now())) send(worker);
  */
-export const isResting = ({ until }: WorkerRest, now: number): boolean => now < until;
+export const isBackingOff = ({ until }: WorkerBackoff, now: number): boolean => now < until;
 
 /**
  * Takes in that a server asked for rest. It counts from when that was heard, which is later than
@@ -43,10 +43,10 @@
  * @example
  * worker.rest = noteRest(worker.rest, 3_000, clock.now());
  */
-export const noteRest = (rest: WorkerRest, restMs: number, now: number): WorkerRest => {
+export const extendBackoff = (rest: WorkerBackoff, restMs: number, now: number): WorkerBackoff => {
   if (!(restMs > 0)) return rest;
-  const until = now + Math.min(MAX_REST_MS, restMs);
-  if (!isResting(rest, now)) return { from: now, until, probes: 0 };
+  const until = now + Math.min(MAX_BACKOFF_MS, restMs);
+  if (!isBackingOff(rest, now)) return { startedAt: now, until, probeCount: 0 };
   return { ...rest, until: Math.max(rest.until, until) };
 };
 
@@ -57,13 +57,13 @@
  * @example
  * if (mayProbe(worker.rest, clock.now())) worker.rest = addProbe(worker.rest);
  */
-export const mayProbe = ({ from, until, probes }: WorkerRest, now: number): boolean => {
+export const mayProbe = ({ startedAt: from, until, probeCount: probes }: WorkerBackoff, now: number): boolean => {
   const dueAt = from + ((probes + 1) / (MAX_PROBES + 1)) * (until - from);
   return probes < MAX_PROBES && now >= dueAt && now < until;
 };
 
 /** Counts a request that is sent to a server in its rest. */
-export const addProbe = (rest: WorkerRest): WorkerRest => ({ ...rest, probes: rest.probes + 1 });
+export const countProbe = (rest: WorkerBackoff): WorkerBackoff => ({ ...rest, probeCount: rest.probeCount + 1 });
 
 /**
  * Tells a refused caller when to come back: when the shortest rest is over, and not all at once.
@@ -72,6 +72,6 @@
  * @example
  * computeRestRetryMs(2_000, Math.random()); // 2000 to 2500
  */
-export const computeRestRetryMs = (restMs: number, share: number): number => (
-  Math.min(MAX_RETRY_MS, restMs) + share * Math.max(MIN_SPREAD_MS, SPREAD_PART * restMs)
+export const computeRetryAfterMs = (restMs: number, share: number): number => (
+  Math.min(MAX_RETRY_MS, restMs) + share * Math.max(MIN_SPREAD_MS, SPREAD_SHARE * restMs)
 );
--- a/src/core/routing/workerChoice.ts
+++ b/src/core/routing/workerChoice.ts
@@ -2,10 +2,10 @@
  * Which backend server takes a request: the one that is expected to begin its answer first, of
  * those that may take it.
  */
-import { readLine, readSlope } from './lineFit';
-import { findWork, isInReach, isReady } from './routedWorkers';
-import type { RoutedWorker, RoutedWorkers, ServiceWork } from './routedWorkers';
-import { isResting, mayProbe } from './workerRest';
+import { estimateAt, estimateSlope } from './linearFit';
+import { findServiceStats, isReachable, isReady } from './routedWorkers';
+import type { RoutedWorker, RoutedWorkers, ServiceStats } from './routedWorkers';
+import { isBackingOff, mayProbe } from './workerBackoff';
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 
 /** What the choice needs to know of a request. */
@@ -23,7 +23,7 @@
   /** Backend servers that must not take it. */
   readonly avoided?: ReadonlySet<string>;
   /** Whether only a server with a free slot will do. */
-  readonly mustBeFree: boolean;
+  readonly requiresFreeSlot: boolean;
 }
 
 /** A backend server, and what is expected of it. */
@@ -39,76 +39,76 @@
  * What a byte that crosses availability zones costs is weighed as this much time: a nearer server
  * is preferred only where it answers as soon, but for some milliseconds.
  */
-const OTHER_ZONE_MS = 6;
+const CROSS_ZONE_PENALTY_MS = 6;
 
 /** How many times its wait counts for a server all of whose answers fail beyond the usual. */
-const FAILURE_WEIGHT = 20;
+const FAILURE_PENALTY = 20;
 
 /** Milliseconds that a plain answer of a server of usual speed takes, so that loads compare. */
-const BASE_MS = 10;
+const PLAIN_ANSWER_MS = 10;
 
 /** A cold server is expected to take this many times as long. */
 const COLD_FACTOR = 2;
 
-interface Expected {
+interface AnswerEstimate {
   /** Milliseconds until a slot is free and what is before the request has been read. */
   readonly waitMs: number;
   /** Milliseconds that its own beginning takes from then on. */
   readonly ownMs: number;
   /** Milliseconds from its beginning to its end. */
-  readonly restMs: number;
+  readonly outputMs: number;
 }
 
-const estimateStart = (
+const estimateAnswer = (
   workers: RoutedWorkers,
-  work: ServiceWork,
+  work: ServiceStats,
   worker: RoutedWorker,
   request: ChoiceRequest,
   fastestMs: number | undefined,
-): Expected => {
+): AnswerEstimate => {
   const slowness = estimateSlowness(workers, worker, fastestMs) * (worker.isCold ? COLD_FACTOR : 1);
   const held = worker.inFlight + worker.othersInFlight;
   const over = Math.max(0, held + 1 - worker.slots);
   const slotMs = (over * work.holdMs) / worker.slots;
   const pending = worker.pendingTokens + worker.othersPendingTokens;
-  const crowdMs = (BASE_MS * held) / worker.slots;
+  const crowdMs = (PLAIN_ANSWER_MS * held) / worker.slots;
   const isPrompt = request.promptTokens > 0;
   return {
-    waitMs: slowness * (slotMs + pending * readSlope(work.firstEvent) + crowdMs),
-    ownMs: slowness * (isPrompt ? readLine(work.firstEvent, request.promptTokens) : BASE_MS),
-    restMs: isPrompt ? slowness * readLine(work.output, request.outputTokens) : 0,
+    waitMs: slowness * (slotMs + pending * estimateSlope(work.firstEvent) + crowdMs),
+    ownMs: slowness * (isPrompt ? estimateAt(work.firstEvent, request.promptTokens) : PLAIN_ANSWER_MS),
+    outputMs: isPrompt ? slowness * estimateAt(work.output, request.outputTokens) : 0,
   };
 };
 
 /** Part of the time left that an answer is expected to need at most, as lengths are estimates. */
-const USABLE_TIME = 0.8;
+const USABLE_TIME_SHARE = 0.8;
 
 /*
  * Guards long answers against slow servers, which would be cut off by their deadline after all the
  * work: what an answer is expected to last beyond its time counts like a wait.
  */
-const computeOverrunMs = (expected: Expected, { remainingMs }: ChoiceRequest): number => (
-  Math.max(0, expected.waitMs + expected.ownMs + expected.restMs - USABLE_TIME * remainingMs)
+const computeOverrunMs = (expected: AnswerEstimate, { remainingMs }: ChoiceRequest): number => (
+  Math.max(0, expected.waitMs + expected.ownMs + expected.outputMs - USABLE_TIME_SHARE * remainingMs)
 );
 
-const weighFailures = (work: ServiceWork, worker: RoutedWorker): number => (
-  1 + FAILURE_WEIGHT * Math.max(0, worker.failureShare - work.failureShare - 0.1)
+const computeFailureFactor = (work: ServiceStats, worker: RoutedWorker): number => (
+  1 + FAILURE_PENALTY * Math.max(0, worker.failureShare - work.failureShare - 0.1)
 );
 
 const computeScore = (
   { mechanisms }: RoutedWorkers,
-  work: ServiceWork,
+  work: ServiceStats,
   worker: RoutedWorker,
-  expected: Expected,
+  expected: AnswerEstimate,
   request: ChoiceRequest,
 ): number => {
-  const weight = mechanisms.failureWeight ? weighFailures(work, worker) : 1;
+  const weight = mechanisms.failureWeight ? computeFailureFactor(work, worker) : 1;
   const isNear = !mechanisms.zoneAffinity || worker.zone === request.zone;
   const overrunMs = mechanisms.overrunGuard ? computeOverrunMs(expected, request) : 0;
-  return (expected.waitMs + expected.ownMs) * weight + (isNear ? 0 : OTHER_ZONE_MS) + overrunMs;
+  return (expected.waitMs + expected.ownMs) * weight + (isNear ? 0 : CROSS_ZONE_PENALTY_MS) + overrunMs;
 };
 
-const isFree = ({ inFlight, othersInFlight, slots }: RoutedWorker): boolean => (
+const hasFreeSlot = ({ inFlight, othersInFlight, slots }: RoutedWorker): boolean => (
   inFlight + othersInFlight < slots
 );
 
@@ -119,7 +119,7 @@
 ): boolean => isReady(worker)
   && worker.inFlight < (connectionShares.get(worker.service) ?? Infinity)
   && !request.avoided?.has(worker.id)
-  && (!request.mustBeFree || isFree(worker));
+  && (!request.requiresFreeSlot || hasFreeSlot(worker));
 
 /**
  * Servers that may take a request, the best kind that there is: in reach and not tried yet; else in
@@ -133,14 +133,14 @@
 ): RoutedWorker[] => {
   const usable = (workers.byService.get(request.service) ?? [])
     .filter((worker) => isUsable(workers, worker, request));
-  const willing = usable.filter(({ rest }) => !isResting(rest, now));
-  const inReach = willing.filter((worker) => isInReach(workers, worker, now));
+  const willing = usable.filter(({ backoff: rest }) => !isBackingOff(rest, now));
+  const inReach = willing.filter((worker) => isReachable(workers, worker, now));
   const fresh = inReach.filter(({ id }) => !request.tried.includes(id));
   if (fresh.length > 0) return fresh;
-  if (inReach.length > 0 || request.mustBeFree) return inReach;
+  if (inReach.length > 0 || request.requiresFreeSlot) return inReach;
   const untried = willing.filter(({ id }) => !request.tried.includes(id));
   if (untried.length > 0) return untried;
-  return usable.filter(({ id, rest }) => !request.tried.includes(id) && mayProbe(rest, now));
+  return usable.filter(({ id, backoff: rest }) => !request.tried.includes(id) && mayProbe(rest, now));
 };
 
 /**
@@ -154,10 +154,10 @@
   request: ChoiceRequest,
   now: number,
 ): WorkerChoice | undefined => {
-  const work = findWork(workers, request.service);
+  const work = findServiceStats(workers, request.service);
   const fastestMs = findFastestPace(workers, request.service);
   const scored = listCandidates(workers, request, now).map((worker) => {
-    const expected = estimateStart(workers, work, worker, request, fastestMs);
+    const expected = estimateAnswer(workers, work, worker, request, fastestMs);
     const { waitMs, ownMs } = expected;
     const score = computeScore(workers, work, worker, expected, request);
     return {
@@ -175,7 +175,7 @@
  * lower yields earlier as a service fills up, so that the ranks above keep what is left. Only the
  * wait counts, not the request's own length: long requests are not turned away for being long.
  */
-const WAIT_SHARE_BY_RANK = [1.2, 1, 0.8];
+const MAX_WAIT_SHARE_BY_RANK = [1.2, 1, 0.8];
 
 /**
  * Decides whether a request is worth being sent: one that would wait too long for its target is
@@ -184,11 +184,11 @@
  * @example
  * if (!isWorthSending(choice, route.targetLatencyMs, rank)) refuse();
  */
-export const isWorthSending = (
+export const isWaitAcceptable = (
   { waitMs }: Pick<WorkerChoice, 'waitMs'>,
   targetLatencyMs: number,
   rank: number,
 ): boolean => {
-  const share = WAIT_SHARE_BY_RANK[Math.min(rank, WAIT_SHARE_BY_RANK.length - 1)] ?? 1;
+  const share = MAX_WAIT_SHARE_BY_RANK[Math.min(rank, MAX_WAIT_SHARE_BY_RANK.length - 1)] ?? 1;
   return waitMs <= share * targetLatencyMs;
 };
--- a/src/core/routing/restingWorkers.ts
+++ b/src/core/routing/workerEligibility.ts
@@ -1,7 +1,7 @@
 /** Which backend servers of a service an entry leaves alone, by what they said in answers. */
 import { isReady } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers } from './routedWorkers';
-import { addProbe, isResting, mayProbe } from './workerRest';
+import { countProbe, isBackingOff, mayProbe } from './workerBackoff';
 
 const listReady = ({ byService }: RoutedWorkers, service: string): RoutedWorker[] => (
   (byService.get(service) ?? []).filter(isReady)
@@ -14,26 +14,26 @@
  * @example
  * const restMs = readShortestRest(workers, 'rooms', clock.now());
  */
-export const readShortestRest = (
+export const computeShortestBackoffMs = (
   workers: RoutedWorkers,
   service: string,
   now: number,
 ): number => {
   const ready = listReady(workers, service);
   if (ready.length === 0) return 0;
-  return Math.max(0, Math.min(...ready.map(({ rest }) => rest.until)) - now);
+  return Math.max(0, Math.min(...ready.map(({ backoff: rest }) => rest.until)) - now);
 };
 
 /**
  * Whether a server must get nothing of this entry: it leaves, or it rests.
  *
- * @param doAllRest whether no server of its service that is ready does without a rest
+ * @param isServiceBackingOff whether no server of its service that is ready does without a rest
  */
 const isAvoided = (
-  { isLeaving, rest }: RoutedWorker,
-  doAllRest: boolean,
+  { isLeaving, backoff: rest }: RoutedWorker,
+  isServiceBackingOff: boolean,
   now: number,
-): boolean => isLeaving || (isResting(rest, now) && !(doAllRest && mayProbe(rest, now)));
+): boolean => isLeaving || (isBackingOff(rest, now) && !(isServiceBackingOff && mayProbe(rest, now)));
 
 /**
  * Whether a server may get a request of this entry.
@@ -41,8 +41,8 @@
  * @example
  * if (!mayTake(workers, worker, clock.now())) askAgain();
  */
-export const mayTake = (workers: RoutedWorkers, worker: RoutedWorker, now: number): boolean => (
-  !isAvoided(worker, readShortestRest(workers, worker.service, now) > 0, now));
+export const isEligible = (workers: RoutedWorkers, worker: RoutedWorker, now: number): boolean => (
+  !isAvoided(worker, computeShortestBackoffMs(workers, worker.service, now) > 0, now));
 
 /**
  * Lists servers of a service that must get nothing of this entry although control holds them ready:
@@ -51,11 +51,11 @@
  * @example
  * const avoided = listAvoided(workers, 'rooms', clock.now());
  */
-export const listAvoided = (workers: RoutedWorkers, service: string, now: number): string[] => {
-  const doAllRest = readShortestRest(workers, service, now) > 0;
+export const listAvoidedIds = (workers: RoutedWorkers, service: string, now: number): string[] => {
+  const isServiceBackingOff = computeShortestBackoffMs(workers, service, now) > 0;
   return (workers.byService.get(service) ?? [])
     .filter(({ standing }) => standing === 'ready')
-    .filter((worker) => isAvoided(worker, doAllRest, now))
+    .filter((worker) => isAvoided(worker, isServiceBackingOff, now))
     .map(({ id }) => id);
 };
 
@@ -65,12 +65,12 @@
  * @example
  * if (holdsAllBack(workers, 'rooms', clock.now())) refuse('backendsResting');
  */
-export const holdsAllBack = (workers: RoutedWorkers, service: string, now: number): boolean => (
-  readShortestRest(workers, service, now) > 0
-    && !listReady(workers, service).some(({ rest }) => mayProbe(rest, now))
+export const isServiceBlocked = (workers: RoutedWorkers, service: string, now: number): boolean => (
+  computeShortestBackoffMs(workers, service, now) > 0
+    && !listReady(workers, service).some(({ backoff: rest }) => mayProbe(rest, now))
 );
 
 /** Counts a request that goes to a server, where the server rests. */
-export const noteSent = (worker: RoutedWorker, now: number): void => {
-  if (isResting(worker.rest, now)) worker.rest = addProbe(worker.rest);
+export const recordProbe = (worker: RoutedWorker, now: number): void => {
+  if (isBackingOff(worker.backoff, now)) worker.backoff = countProbe(worker.backoff);
 };
--- a/src/core/routing/workerStart.ts
+++ b/src/core/routing/workerIncarnation.ts
@@ -9,7 +9,7 @@
 import type { WorkerAnnouncement } from '../../protocol/generated/beechlift';
 
 /** Birth of a server that tells none. */
-export const NO_BIRTH = 0;
+export const NO_START_TIME = 0;
 
 /** Starts that are remembered for each id; the oldest are forgotten beyond it. */
 const MAX_SUPERSEDED = 8;
@@ -19,28 +19,28 @@
  * in milliseconds: two of the usual announcements of 1.2 s. What a cut held up arrives at once, and
  * the known start is heard before this is over.
  */
-const PROOF_MS = 2_500;
+const PROOF_WINDOW_MS = 2_500;
 
 /** How an announcement relates to the start that is known under its id. */
-export type StartRelation = 'same' | 'newer' | 'older' | 'unproven';
+export type IncarnationRelation = 'same' | 'newer' | 'older' | 'unproven';
 
 /** A start that was heard and may be newer than the known one, although it was born earlier. */
-export interface UnprovenStart {
+export interface UnprovenIncarnation {
   readonly born: number;
   readonly sequence: number;
   /** When it was first heard, monotonic milliseconds. */
-  readonly heardAt: number;
+  readonly firstSeenAt: number;
 }
 
 /** What is known of the starts of one id. */
-export interface KnownStarts {
+export interface KnownIncarnations {
   /** Birth of the present start. */
   readonly born: number;
   /** Births of the starts before it, oldest first. */
   readonly superseded: readonly number[];
 }
 
-type Told = Pick<WorkerAnnouncement, 'born' | 'state'>;
+type AnnouncedIncarnation = Pick<WorkerAnnouncement, 'born' | 'state'>;
 
 /**
  * Judges which start an announcement comes from.
@@ -52,9 +52,9 @@
  * @example
  * judgeStart({ born: 1_700, superseded: [] }, said); // 'newer' where it was born at 1_800
  */
-export const judgeStart = (known: KnownStarts, { born, state }: Told): StartRelation => {
+export const compareIncarnation = (known: KnownIncarnations, { born, state }: AnnouncedIncarnation): IncarnationRelation => {
   if (born === known.born) return 'same';
-  if (born === NO_BIRTH) return state === 'gone' ? 'same' : 'older';
+  if (born === NO_START_TIME) return state === 'gone' ? 'same' : 'older';
   if (known.superseded.includes(born)) return 'older';
   return born > known.born ? 'newer' : 'unproven';
 };
@@ -66,7 +66,7 @@
  * const superseded = addSuperseded(known.superseded, known.born);
  */
 export const addSuperseded = (superseded: readonly number[], born: number): readonly number[] => {
-  if (born === NO_BIRTH || superseded.includes(born)) return superseded;
+  if (born === NO_START_TIME || superseded.includes(born)) return superseded;
   return [...superseded, born].slice(-MAX_SUPERSEDED);
 };
 
@@ -75,17 +75,17 @@
  * server's clock went back: it is heard again after a while, its count has grown, and the known
  * start has said nothing since.
  *
- * @param knownHeardAt when the known start was last heard, monotonic milliseconds
+ * @param knownSeenAt when the known start was last heard, monotonic milliseconds
  * @example
  * if (isProven(worker.unproven, said, worker.heardAt, now)) noteNewStart(table, worker, said, now);
  */
 export const isProven = (
-  unproven: UnprovenStart | undefined,
+  unproven: UnprovenIncarnation | undefined,
   { born, sequence }: Pick<WorkerAnnouncement, 'born' | 'sequence'>,
-  knownHeardAt: number,
+  knownSeenAt: number,
   now: number,
 ): boolean => unproven !== undefined
   && unproven.born === born
   && sequence > unproven.sequence
-  && knownHeardAt < unproven.heardAt
-  && now - unproven.heardAt >= PROOF_MS;
+  && knownSeenAt < unproven.firstSeenAt
+  && now - unproven.firstSeenAt >= PROOF_WINDOW_MS;
--- a/src/core/routing/workerSlowness.ts
+++ b/src/core/routing/workerSlowness.ts
@@ -19,7 +19,7 @@
 );
 
 /** Own observations that count as much as what all other entries observed. */
-const OWN_SAMPLES = 4;
+const EQUAL_WEIGHT_SAMPLES = 4;
 
 /**
  * Estimates how much longer a server's work takes than that of the fastest of its service; 1 for
@@ -39,6 +39,6 @@
   const others = mechanisms.sharedSlowness ? worker.othersSlowness : 0;
   if (own === 0) return others || 1;
   if (others === 0) return own;
-  const weight = worker.paceSamples / (worker.paceSamples + OWN_SAMPLES);
+  const weight = worker.paceSamples / (worker.paceSamples + EQUAL_WEIGHT_SAMPLES);
   return weight * own + (1 - weight) * others;
 };
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -2,27 +2,27 @@
   WorkerAnnouncement, WorkerRecord,
 } from '../../protocol/generated/beechlift';
 import {
-  addSuperseded, isProven, judgeStart, NO_BIRTH,
-} from './workerStart';
-import type { StartRelation, UnprovenStart } from './workerStart';
+  addSuperseded, isProven, compareIncarnation, NO_START_TIME,
+} from './workerIncarnation';
+import type { IncarnationRelation, UnprovenIncarnation } from './workerIncarnation';
 
 /** Where a backend server stands: it takes work only when it is ready. */
 export type WorkerStanding = 'ready' | 'draining' | 'gone' | 'silent';
 
 /** A backend server as the table knows it. */
-export interface KnownWorker {
+export interface TrackedWorker {
   said: WorkerAnnouncement;
   standing: WorkerStanding;
   /** When it was last heard, monotonic milliseconds. */
-  heardAt: number;
+  lastSeenAt: number;
   /** The table's revision at which it last changed. */
   revision: number;
   /** When its present start was first heard, monotonic milliseconds. */
-  readonly startHeardAt: number;
+  readonly firstSeenAt: number;
   /** Births of its earlier starts, oldest first. */
   superseded: readonly number[];
   /** A start that may be the later one although it was born earlier. */
-  unproven: UnprovenStart | undefined;
+  unproven: UnprovenIncarnation | undefined;
 }
 
 /** All backend servers that have announced themselves. */
@@ -30,35 +30,35 @@
   /** Names the table that revisions count in; another leader has another one. */
   readonly epoch: string;
   revision: number;
-  readonly workers: Map<string, KnownWorker>;
+  readonly workers: Map<string, TrackedWorker>;
   /** Backend server that holds an address, by address. */
-  readonly holders: Map<string, string>;
+  readonly idByAddress: Map<string, string>;
 }
 
 /**
  * Silence after which a backend server takes no more work, in milliseconds: four of the usual
  * announcements of 1.2 s, so that one which is late by a second or two is not taken for a death.
  */
-export const WORKER_SILENCE_MS = 5_000;
+export const WORKER_TIMEOUT_MS = 5_000;
 
 /** How long one that has left is remembered, so that a late announcement does not revive it. */
-const GONE_KEPT_MS = 300_000;
+const GONE_RETENTION_MS = 300_000;
 
 /**
  * How long after a new start of a server a farewell that names no start may be the one before's, in
  * milliseconds: announcements come seconds late, and a server that has just started does not leave.
  */
-const LATE_FAREWELL_MS = 10_000;
+const LATE_DEREGISTRATION_MS = 10_000;
 
 /** Bounds the table, the ones that left included. */
 const MAX_WORKERS = 20_000;
 
 /** Makes an empty table. */
 export const makeWorkerTable = (epoch: string): WorkerTable => ({
-  epoch, revision: 0, workers: new Map(), holders: new Map(),
+  epoch, revision: 0, workers: new Map(), idByAddress: new Map(),
 });
 
-const setStanding = (table: WorkerTable, worker: KnownWorker, standing: WorkerStanding): void => {
+const setStanding = (table: WorkerTable, worker: TrackedWorker, standing: WorkerStanding): void => {
   table.revision += 1;
   worker.standing = standing;
   worker.revision = table.revision;
@@ -68,25 +68,25 @@
  * Guards against an announcement that was on its way while its sender crashed and another server
  * took its address: the address belongs to the newcomer, and the one before stays gone for good.
  */
-const takeAddress = (table: WorkerTable, { workerId, address }: WorkerAnnouncement): void => {
-  const holder = table.holders.get(address);
+const assignAddress = (table: WorkerTable, { workerId, address }: WorkerAnnouncement): void => {
+  const holder = table.idByAddress.get(address);
   const before = holder === undefined ? undefined : table.workers.get(holder);
   if (before && holder !== workerId && before.standing !== 'gone') {
     setStanding(table, before, 'gone');
   }
-  table.holders.set(address, workerId);
+  table.idByAddress.set(address, workerId);
 };
 
-const makeKnown = (
+const makeTrackedWorker = (
   said: WorkerAnnouncement,
   superseded: readonly number[],
   now: number,
-): KnownWorker => ({
+): TrackedWorker => ({
   said,
   standing: 'ready',
-  heardAt: now,
+  lastSeenAt: now,
   revision: 0,
-  startHeardAt: now,
+  firstSeenAt: now,
   superseded,
   unproven: undefined,
 });
@@ -97,9 +97,9 @@
   superseded: readonly number[],
   now: number,
 ): void => {
-  const worker = makeKnown(said, superseded, now);
+  const worker = makeTrackedWorker(said, superseded, now);
   table.workers.set(said.workerId, worker);
-  if (said.state !== 'gone') takeAddress(table, said);
+  if (said.state !== 'gone') assignAddress(table, said);
   setStanding(table, worker, said.state as WorkerStanding);
 };
 
@@ -107,7 +107,7 @@
   said.state !== 'gone' && said.sequence < known.sequence
 );
 
-const hasChanged = (worker: KnownWorker, said: WorkerAnnouncement): boolean => {
+const hasChanged = (worker: TrackedWorker, said: WorkerAnnouncement): boolean => {
   const before = worker.said;
   return worker.standing !== said.state
     || before.address !== said.address
@@ -117,7 +117,7 @@
 };
 
 /** Leaving is announced by name alone: what was said before still tells the address. */
-const keepAddress = (before: WorkerAnnouncement, said: WorkerAnnouncement): WorkerAnnouncement => (
+const mergeAnnouncement = (before: WorkerAnnouncement, said: WorkerAnnouncement): WorkerAnnouncement => (
   said.state === 'gone' ? { ...before, born: said.born || before.born, state: 'gone' } : said
 );
 
@@ -126,51 +126,51 @@
  * farewell names none: no work goes there until it says again that it is ready, and it is not taken
  * out for good.
  */
-const isDoubtful = (worker: KnownWorker, said: WorkerAnnouncement, now: number): boolean => (
+const isAmbiguousDeregistration = (worker: TrackedWorker, said: WorkerAnnouncement, now: number): boolean => (
   said.state === 'gone'
   && said.born !== worker.said.born
   && worker.superseded.length > 0
-  && now - worker.startHeardAt < LATE_FAREWELL_MS
+  && now - worker.firstSeenAt < LATE_DEREGISTRATION_MS
 );
 
-type StartHandler = (
-  table: WorkerTable, worker: KnownWorker, said: WorkerAnnouncement, now: number,
+type IncarnationHandler = (
+  table: WorkerTable, worker: TrackedWorker, said: WorkerAnnouncement, now: number,
 ) => void;
 
-const noteSameStart: StartHandler = (table, worker, said, now) => {
+const applySameIncarnation: IncarnationHandler = (table, worker, said, now) => {
   if (worker.standing === 'gone' || isOlder(said, worker.said)) return;
-  if (isDoubtful(worker, said, now)) {
+  if (isAmbiguousDeregistration(worker, said, now)) {
     setStanding(table, worker, 'draining');
     return;
   }
-  worker.heardAt = now;
+  worker.lastSeenAt = now;
   const changed = hasChanged(worker, said);
-  worker.said = keepAddress(worker.said, said);
+  worker.said = mergeAnnouncement(worker.said, said);
   if (changed) setStanding(table, worker, said.state as WorkerStanding);
 };
 
 /** A new start takes over: all that was known of the one before is over with it. */
-const noteNewStart: StartHandler = (table, worker, said, now) => {
+const replaceIncarnation: IncarnationHandler = (table, worker, said, now) => {
   const { address, born } = worker.said;
-  if (table.holders.get(address) === said.workerId) table.holders.delete(address);
+  if (table.idByAddress.get(address) === said.workerId) table.idByAddress.delete(address);
   const superseded = addSuperseded(worker.superseded, born);
-  addWorker(table, keepAddress(worker.said, said), superseded, now);
+  addWorker(table, mergeAnnouncement(worker.said, said), superseded, now);
 };
 
-const noteUnprovenStart: StartHandler = (table, worker, said, now) => {
-  if (isProven(worker.unproven, said, worker.heardAt, now)) {
-    noteNewStart(table, worker, said, now);
+const applyUnprovenIncarnation: IncarnationHandler = (table, worker, said, now) => {
+  if (isProven(worker.unproven, said, worker.lastSeenAt, now)) {
+    replaceIncarnation(table, worker, said, now);
     return;
   }
   const { born, sequence } = said;
-  const isNew = worker.unproven?.born !== born || worker.heardAt >= worker.unproven.heardAt;
-  if (isNew) worker.unproven = { born, sequence, heardAt: now };
+  const isNew = worker.unproven?.born !== born || worker.lastSeenAt >= worker.unproven.firstSeenAt;
+  if (isNew) worker.unproven = { born, sequence, firstSeenAt: now };
 };
 
-const startHandlers: Record<StartRelation, StartHandler> = {
-  same: noteSameStart,
-  newer: noteNewStart,
-  unproven: noteUnprovenStart,
+const incarnationHandlers: Record<IncarnationRelation, IncarnationHandler> = {
+  same: applySameIncarnation,
+  newer: replaceIncarnation,
+  unproven: applyUnprovenIncarnation,
   older: () => undefined,
 };
 
@@ -183,7 +183,7 @@
  * @example
  * noteAnnouncement(table, announcement, clock.now());
  */
-export const noteAnnouncement = (
+export const applyAnnouncement = (
   table: WorkerTable,
   said: WorkerAnnouncement,
   now: number,
@@ -191,18 +191,18 @@
   const worker = table.workers.get(said.workerId);
   if (worker) {
     const known = { born: worker.said.born, superseded: worker.superseded };
-    startHandlers[judgeStart(known, said)](table, worker, said, now);
+    incarnationHandlers[compareIncarnation(known, said)](table, worker, said, now);
   } else if (table.workers.size < MAX_WORKERS) {
     addWorker(table, said, [], now);
   }
 };
 
 /** Whether a record of another replica tells more than what is known here. */
-const isNews = (known: KnownWorker, said: WorkerAnnouncement): boolean => {
+const isNewer = (known: TrackedWorker, said: WorkerAnnouncement): boolean => {
   if (said.born === known.said.born) {
     return known.standing !== 'gone' && known.said.sequence <= said.sequence;
   }
-  return said.born !== NO_BIRTH && !known.superseded.includes(said.born);
+  return said.born !== NO_START_TIME && !known.superseded.includes(said.born);
 };
 
 /**
@@ -219,7 +219,7 @@
   if (!said) return false;
   const known = workers.get(said.workerId);
   if (!known) return true;
-  const relation = judgeStart({ born: known.said.born, superseded: known.superseded }, said);
+  const relation = compareIncarnation({ born: known.said.born, superseded: known.superseded }, said);
   if (relation !== 'same') return relation === 'newer';
   return known.standing !== 'gone'
     && (standing === 'gone' || known.said.sequence < said.sequence);
@@ -233,16 +233,16 @@
 ): void => {
   if (!said) return;
   const known = table.workers.get(said.workerId);
-  if (known && !isNews(known, said)) {
+  if (known && !isNewer(known, said)) {
     known.superseded = supersededStarts.reduce(addSuperseded, known.superseded);
     return;
   }
   if (!known && table.workers.size >= MAX_WORKERS) return;
   const before = known && known.said.born !== said.born ? [known.said.born] : [];
   const superseded = [...known?.superseded ?? [], ...supersededStarts, ...before];
-  const worker = makeKnown(said, superseded.reduce(addSuperseded, []), now);
+  const worker = makeTrackedWorker(said, superseded.reduce(addSuperseded, []), now);
   table.workers.set(said.workerId, worker);
-  if (standing !== 'gone') table.holders.set(said.address, said.workerId);
+  if (standing !== 'gone') table.idByAddress.set(said.address, said.workerId);
   setStanding(table, worker, standing as WorkerStanding);
 };
 
@@ -254,13 +254,13 @@
  */
 export const expireWorkers = (table: WorkerTable, now: number): void => {
   table.workers.forEach((worker, id) => {
-    const silentMs = now - worker.heardAt;
-    if (worker.standing === 'ready' && silentMs > WORKER_SILENCE_MS) {
+    const silentMs = now - worker.lastSeenAt;
+    if (worker.standing === 'ready' && silentMs > WORKER_TIMEOUT_MS) {
       setStanding(table, worker, 'silent');
     }
-    if (worker.standing === 'ready' || silentMs <= GONE_KEPT_MS) return;
+    if (worker.standing === 'ready' || silentMs <= GONE_RETENTION_MS) return;
     table.workers.delete(id);
-    if (table.holders.get(worker.said.address) === id) table.holders.delete(worker.said.address);
+    if (table.idByAddress.get(worker.said.address) === id) table.idByAddress.delete(worker.said.address);
   });
 };
 
--- a/src/relay/admitRequest.ts
+++ b/src/relay/admitRequest.ts
@@ -50,8 +50,8 @@
   now: number,
 ): void => {
   if (!account) return;
-  if (site.budget.take(account, computeCost(account, facts), now)) return;
-  throw new BeechliftError('accountLimited', `account "${account.name}" has used up its share of ${account.perSecond} ${account.unit} a second at this entry`, { retryAfterMs: site.budget.estimateWaitMs(account) });
+  if (site.budget.trySpend(account, computeCost(account, facts), now)) return;
+  throw new BeechliftError('accountLimited', `account "${account.name}" has used up its share of ${account.perSecond} ${account.unit} a second at this entry`, { retryAfterMs: site.budget.estimateRetryMs(account) });
 };
 
 /**
--- a/src/relay/attemptOutcome.ts
+++ b/src/relay/attemptOutcome.ts
@@ -1,7 +1,7 @@
 /** What came of an attempt at a server, by the head of its answer and the end of its call. */
-import { noteReached, suspendWorker } from '../core/routing/routedWorkers';
+import { clearSuspension, suspendWorker } from '../core/routing/routedWorkers';
 import type { RoutedWorker } from '../core/routing/routedWorkers';
-import { isResting } from '../core/routing/workerRest';
+import { isBackingOff } from '../core/routing/workerBackoff';
 import type { AnswerWriter } from './answerWriter';
 import type { AttemptOutcome, AttemptTracker } from './attemptTracker';
 import type { AnswerFacts } from './requestDialect';
@@ -74,7 +74,7 @@
 ): AttemptOutcome => {
   if (headOutcome?.kind === 'rejected') {
     // What the server asked for goes before a pause of our own.
-    if (!isResting(worker.rest, now)) suspendWorker(worker, now);
+    if (!isBackingOff(worker.backoff, now)) suspendWorker(worker, now);
     return headOutcome;
   }
   if (headOutcome?.kind === 'failed') {
@@ -82,7 +82,7 @@
     return headOutcome;
   }
   if (callOutcome.kind === 'whole') {
-    noteReached(worker);
+    clearSuspension(worker);
     writer.end();
     tracker.recordAnswer(writer.statusCode >= SERVER_ERROR);
     return { kind: 'answered' };
--- a/src/relay/attemptTracker.ts
+++ b/src/relay/attemptTracker.ts
@@ -1,6 +1,6 @@
 import type { PlacedReport } from '../protocol/generated/beechlift';
-import { NO_TIMES } from '../core/routing/placementTables';
-import { learnAnswer, learnPace } from '../core/routing/routedWorkers';
+import { NO_TIMINGS } from '../core/routing/placementTables';
+import { recordAnswer, recordPace } from '../core/routing/routedWorkers';
 import type { Clock } from '../utils/clock';
 import type { AnswerWriter } from './answerWriter';
 import type { PlaceClient } from './placeClient';
@@ -81,8 +81,8 @@
     if (!isStream || pieces === 0) return;
     const hasPaceSample = pieces % PACE_SAMPLE_CHUNKS === 0;
     const paceMs = hasPaceSample ? (lastChunkAt - firstAt) / (pieces - 1) : 0;
-    if (hasPaceSample) learnPace(picked.worker, paceMs);
-    if (hasPaceSample || pieces === 1) this.report({ phase: 'running', ...NO_TIMES, paceMs });
+    if (hasPaceSample) recordPace(picked.worker, paceMs);
+    if (hasPaceSample || pieces === 1) this.report({ phase: 'running', ...NO_TIMINGS, paceMs });
   }
 
   /** The server has nothing of the request any more. */
@@ -114,7 +114,7 @@
     const { tokens } = this.parts.facts;
     const isTimed = isStream && tokens !== undefined && pieces > 0;
     const holdMs = clock.now() - this.startedAt;
-    learnAnswer(site.workers, picked.worker, {
+    recordAnswer(site.workers, picked.worker, {
       holdMs,
       paceMs: isStream ? 0 : holdMs,
       firstEvent: isTimed
@@ -127,7 +127,7 @@
 
   /** Learns that no answer came. */
   recordFailure(): void {
-    learnAnswer(this.parts.site.workers, this.parts.picked.worker, {
+    recordAnswer(this.parts.site.workers, this.parts.picked.worker, {
       holdMs: 0, paceMs: 0, firstEvent: undefined, output: undefined, failed: true,
     });
   }
--- a/src/relay/crashRecords.ts
+++ b/src/relay/crashRecords.ts
@@ -1,4 +1,4 @@
-import { nameStart } from '../core/quarantine/crashTable';
+import { formatIncarnation } from '../core/quarantine/crashTable';
 import type { CrashSighting } from '../protocol/generated/beechlift';
 
 /** How long a leader that is new is told of an end, in milliseconds. */
@@ -42,7 +42,7 @@
   countServers(fingerprint: string, now: number): number {
     return new Set(this.records
       .filter(({ end: crash, at }) => crash.fingerprint === fingerprint && now - at <= RETENTION_MS)
-      .map(({ end: crash }) => nameStart(crash))).size;
+      .map(({ end: crash }) => formatIncarnation(crash))).size;
   }
 
   /** Whether the leader is to hear of something. */
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -1,5 +1,5 @@
 /** What an entry that shuts down still takes. */
-import { canEndWithin } from '../core/routing/answerTime';
+import { canFinishWithin } from '../core/routing/answerTime';
 import { BeechliftError } from '../errors/beechliftError';
 import type { AdmittedRequest } from './admitRequest';
 import type { RelaySite } from './relaySite';
@@ -32,5 +32,5 @@
   if (Math.min(route.timeoutMs, patienceMs ?? Infinity) <= remainingMs) return true;
   if (!tokens) return false;
   const size = { service, promptTokens: tokens.prompt, outputTokens: tokens.output };
-  return canEndWithin(site.workers, size, remainingMs, picked?.worker);
+  return canFinishWithin(site.workers, size, remainingMs, picked?.worker);
 };
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -1,5 +1,5 @@
-import { NO_TIMES } from '../core/routing/placementTables';
-import { computePaceWaitMs } from '../core/routing/messagePace';
+import { NO_TIMINGS } from '../core/routing/placementTables';
+import { computePaceDelayMs } from '../core/routing/messageIntervals';
 import type {
   PlaceDecisions, PlacedReport, PlaceNews, PlaceReply, PlaceRequest, SiteClient,
 } from '../protocol/generated/beechlift';
@@ -115,7 +115,7 @@
     const pending = this.waiting.get(placeId);
     if (!pending) return;
     this.waiting.delete(placeId);
-    this.report({ placeId, phase: 'dropped', ...NO_TIMES });
+    this.report({ placeId, phase: 'dropped', ...NO_TIMINGS });
     pending.resolve(undefined);
   }
 
@@ -126,7 +126,7 @@
     if (this.reports.length > MAX_REPORTS) this.reports.shift();
     if (report.phase !== 'running') this.flushTask.schedule();
     else if (report.paceMs === 0) this.scheduleFlush(STREAM_START_FLUSH_MS);
-    else this.scheduleFlush(computePaceWaitMs(this.parts.countEntries()));
+    else this.scheduleFlush(computePaceDelayMs(this.parts.countEntries()));
   }
 
   /** Tells that a server ended under a request. */
@@ -235,7 +235,7 @@
     if (reply.code === 0) this.activePlaces.add(reply.placeId);
     if (pending) pending.resolve(reply);
     // Guards a slot that was given to a request which had chosen by itself meanwhile.
-    else if (reply.code === 0) this.report({ placeId: reply.placeId, phase: 'dropped', ...NO_TIMES });
+    else if (reply.code === 0) this.report({ placeId: reply.placeId, phase: 'dropped', ...NO_TIMINGS });
   }
 
   /** Whether the leader has something to say: what only tells it something it does not answer. */
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -3,11 +3,11 @@
 import { AccountBudget } from '../core/routing/accountBudget';
 import { EntryList } from '../core/routing/entryList';
 import type { Mechanisms } from '../core/routing/mechanisms';
-import { computeHoldMs } from '../core/routing/messagePace';
-import { RetryAllowance } from '../core/routing/retryAllowance';
-import type { RetryBounds } from '../core/routing/retryAllowance';
+import { computeWatchHoldMs } from '../core/routing/messageIntervals';
+import { RetryBudget } from '../core/routing/retryBudget';
+import type { RetryBounds } from '../core/routing/retryBudget';
 import {
-  applyLoads, applyRecords, forgetPlaced, listLoads, makeRoutedWorkers, setConnectionShares,
+  applyLoads, applyRecords, resetPlaced, listLoads, makeRoutedWorkers, setConnectionShares,
 } from '../core/routing/routedWorkers';
 import type { RoutedWorkers } from '../core/routing/routedWorkers';
 import { RouteTable } from '../core/routing/routeTable';
@@ -56,7 +56,7 @@
 
   private readonly entries = new EntryList();
 
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
 
   /** Requests that are known to end backend servers. */
   readonly suspects = new SuspectList();
@@ -84,7 +84,7 @@
 
   constructor(private readonly parts: RelaySiteParts) {
     this.workers = makeRoutedWorkers(parts.mechanisms);
-    this.retries = new RetryAllowance(parts.retryBounds, () => this.entryCount);
+    this.retries = new RetryBudget(parts.retryBounds, () => this.entryCount);
   }
 
   /** Names this start of the entry. */
@@ -157,7 +157,7 @@
 
   /** How long the leader may hold a question of this entry, in milliseconds. */
   get watchHoldMs(): number {
-    return Math.round(computeHoldMs(this.entryCount));
+    return Math.round(computeWatchHoldMs(this.entryCount));
   }
 
   /** What the leader of control is asked with. */
@@ -176,8 +176,8 @@
       holdMs,
       loads: listLoads(this.workers),
       spends: this.budget.listSpends(clock.now()),
-      ...this.entries.held,
-      ...this.suspects.held,
+      ...this.entries.heldVersion,
+      ...this.suspects.heldVersion,
       rememberedWorkers: [],
       rememberedSuspects: [],
     };
@@ -236,7 +236,7 @@
 
   private applyWorkers(reply: WatchReply): void {
     applyRecords(this.workers, reply.workers);
-    if (reply.workersEpoch !== this.workersEpoch) forgetPlaced(this.workers);
+    if (reply.workersEpoch !== this.workersEpoch) resetPlaced(this.workers);
     applyLoads(this.workers, reply.loads);
     this.entries.apply(reply);
     this.suspects.apply(reply, this.parts.clock.now());
--- a/src/relay/requestGuard.ts
+++ b/src/relay/requestGuard.ts
@@ -47,7 +47,7 @@
   check(): void {
     const suspect = this.findSuspect();
     if (!suspect || suspect.refusedMs <= 0) return;
-    throw new BeechliftError('requestQuarantined', `${suspect.ends} backend servers ended under request "${this.fingerprint}"`, {
+    throw new BeechliftError('requestQuarantined', `${suspect.crashCount} backend servers ended under request "${this.fingerprint}"`, {
       retryAfterMs: Math.ceil(suspect.refusedMs),
     });
   }
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -128,7 +128,7 @@
     const retryPolicy = new RetryPolicy(this.parts, admitted, guard);
     this.retryPolicy = retryPolicy;
     if (!canAnswerInTime(site, admitted, this.facts)) throw makeLeavingError();
-    site.retries.noteRequest(admitted.service, clock.now());
+    site.retries.recordRequest(admitted.service, clock.now());
     const timer = setTimeout(() => this.expire(), this.deadlineAt - clock.now());
     try {
       await this.tryServers({
--- a/src/relay/workerNotices.ts
+++ b/src/relay/workerNotices.ts
@@ -1,5 +1,5 @@
 import type { RoutedWorker } from '../core/routing/routedWorkers';
-import { noteRest } from '../core/routing/workerRest';
+import { extendBackoff } from '../core/routing/workerBackoff';
 import type { AnswerFacts } from './requestDialect';
 import type { RequestParts } from './requestParts';
 
@@ -20,7 +20,7 @@
   { status, restMs, requestId }: WorkerNotice,
 ): void => {
   if (status !== SERVICE_UNAVAILABLE || restMs === 0) return;
-  worker.rest = noteRest(worker.rest, restMs, clock.now());
+  worker.backoff = extendBackoff(worker.backoff, restMs, clock.now());
   metrics.notices.inc({ notice: 'rest' });
   logger.info('backend server asks for rest', { requestId, worker: worker.id, restMs });
 };
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -1,12 +1,12 @@
 import { randomUUID } from 'node:crypto';
-import { NO_TIMES } from '../core/routing/placementTables';
+import { NO_TIMINGS } from '../core/routing/placementTables';
 import {
-  holdsAllBack, listAvoided, mayTake, noteSent, readShortestRest,
-} from '../core/routing/restingWorkers';
-import { isInReach, isReady } from '../core/routing/routedWorkers';
+  isServiceBlocked, listAvoidedIds, isEligible, recordProbe, computeShortestBackoffMs,
+} from '../core/routing/workerEligibility';
+import { isReachable, isReady } from '../core/routing/routedWorkers';
 import type { RoutedWorker } from '../core/routing/routedWorkers';
-import { chooseRoutedWorker, isWorthSending } from '../core/routing/workerChoice';
-import { computeRestRetryMs, isResting } from '../core/routing/workerRest';
+import { chooseRoutedWorker, isWaitAcceptable } from '../core/routing/workerChoice';
+import { computeRetryAfterMs, isBackingOff } from '../core/routing/workerBackoff';
 import { BeechliftError, makeErrorFromNumber } from '../errors/beechliftError';
 import type { Clock } from '../utils/clock';
 import { chargeAccount, computeCost } from './admitRequest';
@@ -99,8 +99,8 @@
     const { workers } = this.parts.site;
     return (workers.byService.get(service) ?? [])
       .some((worker) => isReady(worker)
-        && !isResting(worker.rest, now)
-        && isInReach(workers, worker, now));
+        && !isBackingOff(worker.backoff, now)
+        && isReachable(workers, worker, now));
   }
 
   private async place(request: PickRequest, requestCount = 1): Promise<PickedWorker | undefined> {
@@ -128,7 +128,7 @@
       zone: site.zone,
       tried: [...tried],
       fingerprint: guard.fingerprint,
-      avoided: listAvoided(site.workers, service, clock.now()),
+      avoided: listAvoidedIds(site.workers, service, clock.now()),
     }, deadlineAt);
     if (!reply) return undefined;
     if (reply.code !== 0) {
@@ -139,14 +139,14 @@
      * Guards a server that leaves against new work from a leader that has not heard of it, such as
      * one that is cut off and does not know yet that another leads.
      */
-    if (worker?.standing === 'ready' && mayTake(site.workers, worker, clock.now())) {
-      noteSent(worker, clock.now());
+    if (worker?.standing === 'ready' && isEligible(site.workers, worker, clock.now())) {
+      recordProbe(worker, clock.now());
       return {
         worker, expectedMs: reply.expectedMs, placeId, epoch: site.workersEpoch,
       };
     }
     // Or the leader knows a server that this entry has not heard of yet.
-    placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMES });
+    placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMINGS });
     if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isOver()) return undefined;
     this.checkBackoff(service);
     return this.place(request, requestCount + 1);
@@ -155,15 +155,15 @@
   /** Throws the refusal where no server of a service may be asked, as all that are ready rest. */
   private checkBackoff(service: string): void {
     const { site, clock } = this.parts;
-    if (holdsAllBack(site.workers, service, clock.now())) throw this.makeNoWorkerError(service);
+    if (isServiceBlocked(site.workers, service, clock.now())) throw this.makeNoWorkerError(service);
   }
 
   private makeNoWorkerError(service: string): BeechliftError {
     const { site, clock } = this.parts;
-    const restMs = readShortestRest(site.workers, service, clock.now());
+    const restMs = computeShortestBackoffMs(site.workers, service, clock.now());
     if (restMs === 0) return new BeechliftError('noBackend', `no backend server of service "${service}" can take the request`, { retryAfterMs: NO_WORKER_RETRY_MS });
     return new BeechliftError('backendsResting', `all backend servers of service "${service}" asked for rest, the first for ${Math.round(restMs)} ms more`, {
-      retryAfterMs: Math.round(computeRestRetryMs(restMs, Math.random())),
+      retryAfterMs: Math.round(computeRetryAfterMs(restMs, Math.random())),
     });
   }
 
@@ -180,15 +180,15 @@
       remainingMs: deadlineAt - now,
       zone: site.zone,
       tried,
-      mustBeFree: false,
+      requiresFreeSlot: false,
     }, now);
     if (!choice) throw this.makeNoWorkerError(service);
-    if (tried.length === 0 && !isWorthSending(choice, route.targetLatencyMs, rank)) {
+    if (tried.length === 0 && !isWaitAcceptable(choice, route.targetLatencyMs, rank)) {
       throw new BeechliftError('noSlotInTime', `the wait at service "${service}" is about ${Math.round(choice.waitMs)} ms, the target is ${route.targetLatencyMs} ms`, {
         retryAfterMs: Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, choice.waitMs)),
       });
     }
-    noteSent(choice.worker, now);
+    recordProbe(choice.worker, now);
     return {
       worker: choice.worker, expectedMs: choice.waitMs + choice.ownMs, placeId: '', epoch: '',
     };
--- a/tests/control/announcement-gate.spec.ts
+++ b/tests/control/announcement-gate.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { AnnouncementGate } from '../../src/control/announcementGate';
 import { applyDocument, NO_DOCUMENT } from '../../src/core/routing/siteDocument';
-import { makeWorkerTable, noteAnnouncement } from '../../src/core/routing/workerTable';
+import { makeWorkerTable, applyAnnouncement } from '../../src/core/routing/workerTable';
 import { BeechliftError } from '../../src/errors/beechliftError';
 import { WorkerAnnouncement } from '../../src/protocol/generated/beechlift';
 import { makeLogger } from '../../src/telemetry/logger';
@@ -33,7 +33,7 @@
    */
   it('should be refused for a service that no route knows, and leave its address alone', () => {
     const { gate, table } = makeGate(site);
-    noteAnnouncement(table, say('good', routed), 0);
+    applyAnnouncement(table, say('good', routed), 0);
     expect(() => gate.check(say('forged', 'elsewhere'))).toThrow(expect.objectContaining({ code: 'unknownService' }));
     expect(() => gate.check(say('good', '__proto__'))).toThrow(expect.objectContaining({ code: 'unknownService' }));
     expect(table.workers.get('good')?.standing).toBe('ready');
@@ -43,7 +43,7 @@
   // A document drops a service; its servers must still be able to say that they leave.
   it('should be taken from a server that is known with its service, and before any document', () => {
     const { gate, table } = makeGate(site);
-    noteAnnouncement(table, say('good', 'dropped'), 0);
+    applyAnnouncement(table, say('good', 'dropped'), 0);
     expect(() => gate.check(say('good', 'dropped'))).not.toThrow();
     expect(() => makeGate().gate.check(say('early', 'not known yet'))).not.toThrow();
   });
--- a/tests/control/entry-list.spec.ts
+++ b/tests/control/entry-list.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { EntryTable } from '../../src/control/entryTable';
 import { LeaderBook } from '../../src/control/leaderBook';
-import { EntryList, pickEntries } from '../../src/core/routing/entryList';
+import { EntryList, selectEntries } from '../../src/core/routing/entryList';
 import { EntryRecord, WatchRequest } from '../../src/protocol/generated/beechlift';
 
 const LEASE_MS = 4_000;
@@ -36,7 +36,7 @@
     list.apply({ workersEpoch: 'x', entriesRevision: 7, entries: [] });
     expect(list.records).toHaveLength(1);
     list.apply({ workersEpoch: 'y', entriesRevision: 2, entries: [makeRecord('e1'), makeRecord('e2')] });
-    expect([list.held, list.records.length])
+    expect([list.heldVersion, list.records.length])
       .toEqual([{ entriesEpoch: 'y', entriesRevision: 2 }, 2]);
   });
 
@@ -62,14 +62,14 @@
     const list = new EntryList();
     list.apply({ workersEpoch: 'x', entriesRevision: 2, entries: [makeRecord('e1'), makeRecord('e2')] });
     const ask = () => list.apply({
-      workersEpoch: 'y', ...book.buildListPart(list.held, 'y'),
+      workersEpoch: 'y', ...book.buildListPart(list.heldVersion, 'y'),
     });
     book.noteEntry(WatchRequest.fromPartial({
       entryId: 'e1', callerAddress: 'e1:1', zone: 'a', state: 'active',
     }));
     ask();
     expect(list.records).toHaveLength(2);
-    expect(book.buildListPart(new EntryList().held, 'y').entries).toHaveLength(1);
+    expect(book.buildListPart(new EntryList().heldVersion, 'y').entries).toHaveLength(1);
     now += 600;
     ask();
     expect(list.records.map(({ id }) => id)).toEqual(['e1']);
@@ -77,8 +77,8 @@
 
   it('should name the caller\'s own availability zone when it has several entries', () => {
     const records = [makeRecord('e1'), makeRecord('e2'), makeRecord('e3', 'b')];
-    expect(pickEntries(records, 'a', 64)).toEqual(['e1:1', 'e2:1']);
-    expect(pickEntries(records, 'b', 64)).toHaveLength(3);
-    expect(pickEntries(records, 'b', 2)).toHaveLength(2);
+    expect(selectEntries(records, 'a', 64)).toEqual(['e1:1', 'e2:1']);
+    expect(selectEntries(records, 'b', 64)).toHaveLength(3);
+    expect(selectEntries(records, 'b', 2)).toHaveLength(2);
   });
 });
--- a/tests/control/leader-book.spec.ts
+++ b/tests/control/leader-book.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { LeaderBook } from '../../src/control/leaderBook';
-import { makeWorkerTable, noteAnnouncement } from '../../src/core/routing/workerTable';
+import { makeWorkerTable, applyAnnouncement } from '../../src/core/routing/workerTable';
 import { PlaceNews, WatchRequest, WorkerAnnouncement } from '../../src/protocol/generated/beechlift';
 import type { PlaceDecisions } from '../../src/protocol/generated/beechlift';
 
@@ -19,7 +19,7 @@
   });
 
   constructor() {
-    noteAnnouncement(this.workers, WorkerAnnouncement.fromPartial({
+    applyAnnouncement(this.workers, WorkerAnnouncement.fromPartial({
       workerId: 'w1', service: 'm', address: '10.0.0.1:80', zone: 'a', slots: 1, state: 'ready', sequence: 1,
     }), 0);
   }
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { SuspectKeeper } from '../../src/control/suspectKeeper';
-import { JOINT_END_MS } from '../../src/core/quarantine/crashTable';
+import { CRASH_GROUP_WINDOW_MS } from '../../src/core/quarantine/crashTable';
 import { SuspectList } from '../../src/core/quarantine/suspectList';
 import { WatchReply, WatchRequest } from '../../src/protocol/generated/beechlift';
 import type { SuspectRecord } from '../../src/protocol/generated/beechlift';
@@ -13,7 +13,7 @@
 /** Time after which an entry that was undisturbed, before a stable leader, is in touch, in ms. */
 const TOUCH_MS = 3_000;
 /** How long news take between entries and the leader, and until ends are judged, in ms. */
-const NEWS_MS = 2 * JOINT_END_MS;
+const NEWS_MS = 2 * CRASH_GROUP_WINDOW_MS;
 const FATAL = 'fatal';
 
 /** One thing that happens; what it does not need is ignored. */
@@ -170,7 +170,7 @@
     this.replicas.filter((unused, position) => position !== this.leader)
       .forEach((replica) => replica.follow(this.answer(replica.held)));
     this.entries.filter(({ isCut }) => !isCut)
-      .forEach(({ list }) => list.apply(this.answer(list.held), this.now));
+      .forEach(({ list }) => list.apply(this.answer(list.heldVersion), this.now));
   }
 
   private noteRefusal(): void {
--- a/tests/core/account-limits-grown.spec.ts
+++ b/tests/core/account-limits-large-sites.spec.ts
@@ -65,7 +65,7 @@
   const refused: Arrival[] = [];
   const ask = (entry: AccountBudget, position: number, now: number): void => {
     if (isCut(position, now)) return;
-    ledger.noteSpends(`e${position}`, entry.listSpends(now), now);
+    ledger.recordSpends(`e${position}`, entry.listSpends(now), now);
     entry.applyGrants(ledger.listGrants(`e${position}`, ENTRIES, now), now);
   };
   // An entry serves from its first answer on.
@@ -80,7 +80,7 @@
     arrivals.slice(next, end).forEach((arrival) => {
       const { entry, cost } = arrival;
       const isPassed = cost === SMALL || isCut(entry, now)
-        ? (entries[entry] as AccountBudget).take(account, cost, now)
+        ? (entries[entry] as AccountBudget).trySpend(account, cost, now)
         : ledger.charge(account.name, cost, 0, now) === 0;
       (isPassed ? passed : refused).push(arrival);
     });
--- a/tests/core/account-limits.spec.ts
+++ b/tests/core/account-limits.spec.ts
@@ -30,11 +30,11 @@
     entries.forEach((entry, position) => {
       const isCut = position < 3 && now >= cutFrom && now < cutFrom + 4_000;
       if (now % 200 === 0 && !isCut) {
-        ledger.noteSpends(`e${position}`, entry.listSpends(now), now);
+        ledger.recordSpends(`e${position}`, entry.listSpends(now), now);
         entry.applyGrants(ledger.listGrants(`e${position}`, entries.length, now), now);
       }
       const cost = costs[(position + now) % costs.length] ?? 1;
-      if (entry.take(account, cost, now)) uses.push({ at: now, cost });
+      if (entry.trySpend(account, cost, now)) uses.push({ at: now, cost });
     });
     const cost = costs[now % costs.length] ?? 1;
     if (ledger.charge(account.name, cost, now % 3, now) === 0) uses.push({ at: now, cost });
@@ -153,8 +153,8 @@
     const ledger = new AccountLedger(0);
     ledger.configure([account], 0);
     expect(ledger.charge(account.name, RATE, 0, 0)).toBe(0);
-    ledger.noteSpends('e1', [{ account: account.name, total: 0, demand: 0 }], 0);
-    ledger.noteSpends('e1', [{ account: account.name, total: RATE, demand: 0 }], 0);
+    ledger.recordSpends('e1', [{ account: account.name, total: 0, demand: 0 }], 0);
+    ledger.recordSpends('e1', [{ account: account.name, total: RATE, demand: 0 }], 0);
     expect(ledger.charge(account.name, 1, 0, 0)).toBeGreaterThan(0);
     expect(ledger.charge(account.name, 0, 0, 0)).toBe(0);
   });
@@ -172,9 +172,9 @@
   it('should count totals, whatever reports were lost', () => {
     const ledger = new AccountLedger(0);
     ledger.configure([account], 0);
-    ledger.noteSpends('e1', [{ account: 'lobby', total: 900_000, demand: 1 }], 0);
-    ledger.noteSpends('e1', [{ account: 'lobby', total: 920_000, demand: 1 }], 0);
-    ledger.noteSpends('e1', [{ account: 'lobby', total: 920_000, demand: 1 }], 0);
+    ledger.recordSpends('e1', [{ account: 'lobby', total: 900_000, demand: 1 }], 0);
+    ledger.recordSpends('e1', [{ account: 'lobby', total: 920_000, demand: 1 }], 0);
+    ledger.recordSpends('e1', [{ account: 'lobby', total: 920_000, demand: 1 }], 0);
     expect(ledger.charge('lobby', 30_000, 0, 0)).toBe(0);
     expect(ledger.charge('lobby', 1_000, 0, 0)).toBeGreaterThan(0);
   });
--- a/tests/core/answer-time.spec.ts
+++ b/tests/core/answer-time.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
-import { canEndWithin } from '../../src/core/routing/answerTime';
+import { canFinishWithin } from '../../src/core/routing/answerTime';
 import {
-  applyRecords, learnAnswer, learnPace, makeRoutedWorkers,
+  applyRecords, recordAnswer, recordPace, makeRoutedWorkers,
 } from '../../src/core/routing/routedWorkers';
 import type { RoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { WorkerRecord } from '../../src/protocol/generated/beechlift';
@@ -24,9 +24,9 @@
 
 const learnStreams = (workers: RoutedWorkers, id = 'fast'): void => {
   const worker = findWorker(workers, id);
-  learnPace(worker, 10);
+  recordPace(worker, 10);
   Array.from({ length: 20 }, (unused, position) => 100 + 10 * position).forEach((tokens) => {
-    learnAnswer(workers, worker, {
+    recordAnswer(workers, worker, {
       holdMs: 100 + 10 * tokens,
       paceMs: 0,
       firstEvent: { ms: 100, tokens: 1_000 },
@@ -41,18 +41,18 @@
     const workers = makeWorkers();
     learnStreams(workers);
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
-    expect(canEndWithin(workers, size, 4_500)).toBe(true);
-    expect(canEndWithin(workers, size, 3_500)).toBe(false);
-    expect(canEndWithin(workers, { ...size, outputTokens: 100 }, 3_500)).toBe(true);
+    expect(canFinishWithin(workers, size, 4_500)).toBe(true);
+    expect(canFinishWithin(workers, size, 3_500)).toBe(false);
+    expect(canFinishWithin(workers, { ...size, outputTokens: 100 }, 3_500)).toBe(true);
   });
 
   it('should count how slow a backend server is', () => {
     const workers = makeWorkers();
     learnStreams(workers);
-    learnPace(findWorker(workers, 'slow'), 30);
+    recordPace(findWorker(workers, 'slow'), 30);
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
-    expect(canEndWithin(workers, size, 4_500, findWorker(workers, 'fast'))).toBe(true);
-    expect(canEndWithin(workers, size, 4_500, findWorker(workers, 'slow'))).toBe(false);
+    expect(canFinishWithin(workers, size, 4_500, findWorker(workers, 'fast'))).toBe(true);
+    expect(canFinishWithin(workers, size, 4_500, findWorker(workers, 'slow'))).toBe(false);
   });
 
   /*
@@ -61,18 +61,18 @@
    */
   it('should not depend on whole answers of the same service', () => {
     const workers = makeWorkers();
-    learnPace(findWorker(workers, 'fast'), 10);
-    Array.from({ length: 20 }, () => learnAnswer(workers, findWorker(workers, 'slow'), {
+    recordPace(findWorker(workers, 'fast'), 10);
+    Array.from({ length: 20 }, () => recordAnswer(workers, findWorker(workers, 'slow'), {
       holdMs: 1_500, paceMs: 1_500, firstEvent: undefined, output: undefined, failed: false,
     }));
     learnStreams(workers, 'slow');
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
-    expect(canEndWithin(workers, size, 1_500)).toBe(false);
-    expect(canEndWithin(workers, size, 1_500, findWorker(workers, 'fast'))).toBe(false);
+    expect(canFinishWithin(workers, size, 1_500)).toBe(false);
+    expect(canFinishWithin(workers, size, 1_500, findWorker(workers, 'fast'))).toBe(false);
   });
 
   it('should promise nothing while too little is known', () => {
     const size = { service: SERVICE, promptTokens: 10, outputTokens: 10 };
-    expect(canEndWithin(makeWorkers(), size, 60_000)).toBe(false);
+    expect(canFinishWithin(makeWorkers(), size, 60_000)).toBe(false);
   });
 });
--- a/tests/core/connection-share.spec.ts
+++ b/tests/core/connection-share.spec.ts
@@ -22,7 +22,7 @@
 const fill = (workers: RoutedWorkers, requests: number): number[] => {
   Array.from({ length: requests }).forEach(() => {
     const choice = chooseRoutedWorker(workers, {
-      service: 'rooms', promptTokens: 0, outputTokens: 0, remainingMs: 1_000, zone: 'a', tried: [], mustBeFree: false,
+      service: 'rooms', promptTokens: 0, outputTokens: 0, remainingMs: 1_000, zone: 'a', tried: [], requiresFreeSlot: false,
     }, 0);
     if (choice) choice.worker.inFlight += 1;
   });
--- a/tests/core/crash-table.spec.ts
+++ b/tests/core/crash-table.spec.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
 import {
-  findStage, isUnsettled, JOINT_END_MS, makeCrashTable, noteEnd, noteServed,
+  findStage, hasUnsettledCrash, CRASH_GROUP_WINDOW_MS, makeCrashTable, recordCrash, recordServed,
 } from '../../src/core/quarantine/crashTable';
 import type { StageChange, SuspectStage } from '../../src/core/quarantine/crashTable';
-import { expireSuspects, judgeEnds, noteHeard } from '../../src/core/quarantine/judgement';
+import { expireSuspects, evaluateCrashes, recordAnnouncement } from '../../src/core/quarantine/crashEvaluation';
 import { adoptSuspect, listSuspects } from '../../src/core/quarantine/suspectRecords';
 
 const MINUTE_MS = 60_000;
@@ -22,14 +22,14 @@
     underEach.forEach((fingerprints) => {
       this.starts += 1;
       fingerprints.forEach((fingerprint) => (
-        noteEnd(this.table, fingerprint, `s${this.starts}`, this.now, this.now)));
+        recordCrash(this.table, fingerprint, `s${this.starts}`, this.now, this.now)));
     });
     return this.settle();
   }
 
   settle(): StageChange[] {
-    this.now += 2 * JOINT_END_MS;
-    return judgeEnds(this.table, this.now);
+    this.now += 2 * CRASH_GROUP_WINDOW_MS;
+    return evaluateCrashes(this.table, this.now);
   }
 
   read(fingerprint: string): SuspectStage {
@@ -77,7 +77,7 @@
     const rig = new TableRig();
     rig.end(['popular'], ['popular'], ['popular'], ['popular']);
     expect(rig.read('popular')).toBe('watched');
-    noteServed(rig.table, 'popular', rig.now);
+    recordServed(rig.table, 'popular', rig.now);
     expect(rig.read('popular')).toBe('noted');
   });
 
@@ -94,18 +94,18 @@
     const rig = new TableRig();
     rig.end([FATAL]);
     rig.end([FATAL]);
-    noteEnd(rig.table, FATAL, 'late1', rig.now, rig.now);
-    expect(isUnsettled(rig.table, FATAL)).toBe(true);
-    noteEnd(rig.table, 'other', 'late2', rig.now + JOINT_END_MS / 2, rig.now);
+    recordCrash(rig.table, FATAL, 'late1', rig.now, rig.now);
+    expect(hasUnsettledCrash(rig.table, FATAL)).toBe(true);
+    recordCrash(rig.table, 'other', 'late2', rig.now + CRASH_GROUP_WINDOW_MS / 2, rig.now);
     rig.settle();
-    expect(isUnsettled(rig.table, FATAL)).toBe(false);
+    expect(hasUnsettledCrash(rig.table, FATAL)).toBe(false);
     expect(rig.read(FATAL)).toBe('watched');
   });
 
   it('should count one end however often it is told', () => {
     const rig = new TableRig();
     [1, 2, 3].forEach(() => {
-      noteEnd(rig.table, FATAL, 's1', 0, rig.now);
+      recordCrash(rig.table, FATAL, 's1', 0, rig.now);
       rig.settle();
     });
     expect(rig.read(FATAL)).toBe('noted');
@@ -115,7 +115,7 @@
     const rig = new TableRig();
     rig.end(['a']);
     rig.end(['a']);
-    expect(noteServed(rig.table, 'a', rig.now).map(({ kind }) => kind)).toEqual(['cleared']);
+    expect(recordServed(rig.table, 'a', rig.now).map(({ kind }) => kind)).toEqual(['cleared']);
     rig.end(['a']);
     expect(rig.read('a')).toBe('noted');
   });
@@ -127,7 +127,7 @@
     rig.end(['a']);
     rig.end(['a']);
     const sayAlive = (server: string, ...sequences: number[]) => sequences.forEach((sequence) => {
-      noteHeard(rig.table, server, sequence, rig.now);
+      recordAnnouncement(rig.table, server, sequence, rig.now);
     });
     sayAlive('s3', 1, 2, 3);
     rig.now += 1_000;
@@ -164,7 +164,7 @@
   it('should bound the ends that it keeps', () => {
     const rig = new TableRig();
     list(5_000, 'a').forEach((name) => rig.end([name]));
-    expect(rig.table.ends.size).toBeLessThanOrEqual(4_096);
+    expect(rig.table.groupsByServer.size).toBeLessThanOrEqual(4_096);
   });
 
   // Guards against entries that go on watching a request which the leader has forgotten.
@@ -177,7 +177,7 @@
     const changes = expireSuspects(rig.table, rig.now);
     expect(changes.map(({ kind, suspect }) => `${suspect.fingerprint} ${kind}`)).toEqual(['a cleared']);
     expect(rig.table.revision).toBeGreaterThan(revision);
-    expect(rig.table.suspects.size + rig.table.ends.size).toBe(0);
+    expect(rig.table.suspects.size + rig.table.groupsByServer.size).toBe(0);
   });
 
   // Guards against a change of leaders that gives a request three more servers to end.
@@ -186,7 +186,7 @@
     rig.end([FATAL]);
     rig.end([FATAL]);
     rig.changeLeader();
-    ['s1', 's2'].forEach((server) => noteEnd(rig.table, FATAL, server, 0, rig.now));
+    ['s1', 's2'].forEach((server) => recordCrash(rig.table, FATAL, server, 0, rig.now));
     rig.settle();
     expect(rig.read(FATAL)).toBe('watched');
     rig.end([FATAL]);
--- a/tests/core/mechanisms.spec.ts
+++ b/tests/core/mechanisms.spec.ts
@@ -2,12 +2,12 @@
 import { MECHANISMS, makeMechanisms } from '../../src/core/routing/mechanisms';
 import type { Mechanism } from '../../src/core/routing/mechanisms';
 import {
-  askPlaces, makePlacement, notePlaced, runPlacement,
+  requestSlots, makePlacementTables, applyPlacementUpdate, placeWaiting,
 } from '../../src/core/routing/placement';
-import type { PlaceAsk, PlacementTables } from '../../src/core/routing/placementTables';
-import { computePatienceMs, estimateWaitMs } from '../../src/core/routing/placementWait';
+import type { SlotRequest, PlacementTables } from '../../src/core/routing/placementTables';
+import { computeMaxWaitMs, estimateWaitMs } from '../../src/core/routing/placementWait';
 import {
-  applyLoads, applyRecords, learnAnswer, learnPace, makeRoutedWorkers, suspendWorker,
+  applyLoads, applyRecords, recordAnswer, recordPace, makeRoutedWorkers, suspendWorker,
 } from '../../src/core/routing/routedWorkers';
 import type { RoutedWorker } from '../../src/core/routing/routedWorkers';
 import { chooseRoutedWorker } from '../../src/core/routing/workerChoice';
@@ -16,7 +16,7 @@
 
 const NOW = 1_000;
 
-const makeAsk = (id: string, fields: Partial<PlaceAsk> = {}): PlaceAsk => ({
+const makeAsk = (id: string, fields: Partial<SlotRequest> = {}): SlotRequest => ({
   id,
   entryId: 'e1',
   service: 'lm',
@@ -40,25 +40,25 @@
     },
     standing: 'ready',
   })));
-  return makePlacement(workers);
+  return makePlacementTables(workers);
 };
 
 const findWorker = ({ workers }: PlacementTables, id: string): RoutedWorker => (
   workers.byId.get(id) as RoutedWorker);
 
-const chooseId = (tables: PlacementTables, fields: Partial<PlaceAsk> = {}): string => {
+const chooseId = (tables: PlacementTables, fields: Partial<SlotRequest> = {}): string => {
   const ask = makeAsk('r', fields);
   return chooseRoutedWorker(tables.workers, {
-    ...ask, remainingMs: ask.deadlineAt - NOW, mustBeFree: false,
+    ...ask, remainingMs: ask.deadlineAt - NOW, requiresFreeSlot: false,
   }, NOW)?.worker.id ?? '';
 };
 
 const learnFailures = (tables: PlacementTables, id: string): void => {
   Array.from({ length: 10 }).forEach(() => {
-    learnAnswer(tables.workers, findWorker(tables, id), {
+    recordAnswer(tables.workers, findWorker(tables, id), {
       holdMs: 0, paceMs: 0, firstEvent: undefined, output: undefined, failed: true,
     });
-    tables.workers.work.forEach((work) => {
+    tables.workers.serviceStats.forEach((work) => {
       work.failureShare = 0;
     });
   });
@@ -84,8 +84,8 @@
   },
   overrunGuard: {
     decide: (tables) => {
-      learnPace(findWorker(tables, 'w-a'), 10);
-      learnPace(findWorker(tables, 'w-b'), 30);
+      recordPace(findWorker(tables, 'w-a'), 10);
+      recordPace(findWorker(tables, 'w-b'), 30);
       findWorker(tables, 'w-a').pendingTokens = 20_000;
       return chooseId(tables, { outputTokens: 1_000, deadlineAt: NOW + 8_000 });
     },
@@ -94,8 +94,8 @@
   },
   learntSpeeds: {
     decide: (tables) => {
-      learnPace(findWorker(tables, 'w-a'), 10);
-      learnPace(findWorker(tables, 'w-b'), 30);
+      recordPace(findWorker(tables, 'w-a'), 10);
+      recordPace(findWorker(tables, 'w-b'), 30);
       return chooseId(tables);
     },
     on: 'w-a',
@@ -120,34 +120,34 @@
   higherRanks: {
     decide: (tables) => {
       const fresh = estimateWaitMs(tables, makeAsk('r', { rank: 2 }), NOW);
-      askPlaces(tables, Array.from({ length: 6 }, (unused, count) => makeAsk(`r${count}`)), NOW);
+      requestSlots(tables, Array.from({ length: 6 }, (unused, count) => makeAsk(`r${count}`)), NOW);
       return estimateWaitMs(tables, makeAsk('r', { rank: 2 }), NOW) > fresh;
     },
     on: true,
     off: false,
   },
   patienceByRank: {
-    decide: (tables) => computePatienceMs(tables, makeAsk('r', { rank: 2 }))
-      < computePatienceMs(tables, makeAsk('r')),
+    decide: (tables) => computeMaxWaitMs(tables, makeAsk('r', { rank: 2 }))
+      < computeMaxWaitMs(tables, makeAsk('r')),
     on: true,
     off: false,
   },
   shortestFirst: {
     decide: (tables) => {
       const lengths = [100, 100, 900, 10];
-      askPlaces(tables, lengths.map((outputTokens, position) => (
+      requestSlots(tables, lengths.map((outputTokens, position) => (
         makeAsk(`r${position}`, { outputTokens }))), NOW);
-      notePlaced(tables, {
+      applyPlacementUpdate(tables, {
         id: 'r0', phase: 'dropped', paceMs: 0, firstEventMs: 0, outputMs: 0,
       }, NOW);
-      return runPlacement(tables, NOW).map(({ id }) => id);
+      return placeWaiting(tables, NOW).map(({ id }) => id);
     },
     slots: 1,
     on: ['r1'],
     off: ['r2'],
   },
   earlyRefusal: {
-    decide: (tables) => askPlaces(
+    decide: (tables) => requestSlots(
       tables,
       Array.from({ length: 30 }, (unused, count) => makeAsk(`r${count}`)),
       NOW,
--- a/tests/core/placement-sheets.spec.ts
+++ b/tests/core/placement-workloads.spec.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { PlacementModel } from './placementModel';
-import type { ModelKind, ModelSheet } from './placementModel';
+import type { ModelKind, ModelWorkload } from './placementModel';
 
 /** Milliseconds that a kind holds a slot of an engine of slowness 1, about. */
 const computeHoldMs = ({ promptTokens, outputTokens }: ModelKind): number => (
@@ -24,7 +24,7 @@
   load: fc.double({ min: 0.3, max: 4, noNaN: true }),
 }).map(({
   slots, slowness, shapes, load,
-}): ModelSheet => {
+}): ModelWorkload => {
   const kinds = shapes.map(({ share, ...shape }): ModelKind => ({
     ...shape,
     perSecond: share,
--- a/tests/core/placement.spec.ts
+++ b/tests/core/placement.spec.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest';
-import type { CautionFinder, CautionKind } from '../../src/core/quarantine/placementCaution';
+import type { RestrictionFinder, RestrictionKind } from '../../src/core/quarantine/placementRestriction';
 import {
-  askPlaces, expirePlaced, makePlacement, notePlaced, runPlacement,
+  requestSlots, expirePlaced, makePlacementTables, applyPlacementUpdate, placeWaiting,
 } from '../../src/core/routing/placement';
-import type { PlaceDecision, PlacedNews } from '../../src/core/routing/placement';
+import type { PlacementDecision, PlacementUpdate } from '../../src/core/routing/placement';
 import { estimateWaitMs } from '../../src/core/routing/placementWait';
-import type { PlaceAsk, PlacementTables } from '../../src/core/routing/placementTables';
-import { applyRecords, learnPace, makeRoutedWorkers } from '../../src/core/routing/routedWorkers';
+import type { SlotRequest, PlacementTables } from '../../src/core/routing/placementTables';
+import { applyRecords, recordPace, makeRoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { WorkerRecord } from '../../src/protocol/generated/beechlift';
 
 const makeRecord = (workerId: string, slots: number, standing = 'ready'): WorkerRecord => WorkerRecord.fromPartial({
@@ -16,18 +16,18 @@
   standing,
 });
 
-const makeTables = (slots: readonly number[], findCaution?: CautionFinder): PlacementTables => {
+const makeTables = (slots: readonly number[], findCaution?: RestrictionFinder): PlacementTables => {
   const workers = makeRoutedWorkers();
   applyRecords(workers, slots.map((count, position) => makeRecord(String(position), count)));
-  return makePlacement(workers, findCaution);
+  return makePlacementTables(workers, findCaution);
 };
 
 /** Tells of requests what stands before the colon of their fingerprint. */
-const readKind: CautionFinder = (fingerprint) => ({
-  kind: fingerprint.split(':')[0] as CautionKind, refusedMs: 60_000,
+const readKind: RestrictionFinder = (fingerprint) => ({
+  kind: fingerprint.split(':')[0] as RestrictionKind, refusedMs: 60_000,
 });
 
-const ask = (fields: Partial<PlaceAsk> & { id: string }): PlaceAsk => ({
+const ask = (fields: Partial<SlotRequest> & { id: string }): SlotRequest => ({
   entryId: 'e1',
   service: 'lm',
   rank: 0,
@@ -41,16 +41,16 @@
   ...fields,
 });
 
-const askPlace = (tables: PlacementTables, one: PlaceAsk, now: number): PlaceDecision[] => (
-  askPlaces(tables, [one], now)
+const askPlace = (tables: PlacementTables, one: SlotRequest, now: number): PlacementDecision[] => (
+  requestSlots(tables, [one], now)
 );
 
-const makeNews = (id: string, phase: PlacedNews['phase'] = 'ended'): PlacedNews => (
+const makeNews = (id: string, phase: PlacementUpdate['phase'] = 'ended'): PlacementUpdate => (
   {
     id, phase, paceMs: 0, firstEventMs: 150, outputMs: 500,
   });
 
-const listGranted = (decisions: readonly PlaceDecision[]): string[] => decisions
+const listGranted = (decisions: readonly PlacementDecision[]): string[] => decisions
   .filter(({ kind }) => kind === 'grant').map(({ id }) => id);
 
 const countHeld = (tables: PlacementTables, id: string): number => (
@@ -72,7 +72,7 @@
     const tables = makeTables([4]);
     const batch = Array.from({ length: 12 }, (unused, count) => (
       ask({ id: `r${count}`, rank: count < 8 ? 0 : 2, targetMs: 1_000 })));
-    const decisions = askPlaces(tables, batch, 0);
+    const decisions = requestSlots(tables, batch, 0);
     expect(listGranted(decisions)).toEqual(['r0', 'r1', 'r2', 'r3']);
     expect(tables.waiting.has('r4')).toBe(true);
     const refused = decisions.filter(({ kind }) => kind === 'refuse').map(({ id }) => id);
@@ -88,9 +88,9 @@
     waiting.forEach(([id, rank], position) => {
       tables.waiting.set(id, ask({ id, rank, askedAt: position }));
     });
-    notePlaced(tables, makeNews('a'), 10);
-    notePlaced(tables, makeNews('b'), 10);
-    expect(listGranted(runPlacement(tables, 10))).toEqual(['top', 'top2']);
+    applyPlacementUpdate(tables, makeNews('a'), 10);
+    applyPlacementUpdate(tables, makeNews('b'), 10);
+    expect(listGranted(placeWaiting(tables, 10))).toEqual(['top', 'top2']);
   });
 
   it('should refuse at once what would wait too long, with a time to come back', () => {
@@ -107,8 +107,8 @@
     const tables = makeTables([1]);
     askPlace(tables, ask({ id: 'a' }), 0);
     tables.waiting.set('b', ask({ id: 'b', askedAt: 0 }));
-    expect(runPlacement(tables, 100)).toEqual([]);
-    expect(runPlacement(tables, 900).map(({ kind, id }) => [kind, id])).toEqual([['refuse', 'b']]);
+    expect(placeWaiting(tables, 100)).toEqual([]);
+    expect(placeWaiting(tables, 900).map(({ kind, id }) => [kind, id])).toEqual([['refuse', 'b']]);
   });
 
   // An answer of 800 tokens lasts longer on an engine four times slower than the caller waits: it
@@ -116,8 +116,8 @@
   it('should keep long answers from engines that cannot finish them', () => {
     const tables = makeTables([6, 6]);
     Array.from({ length: 20 }).forEach(() => {
-      learnPace(tables.workers.byId.get('0') as never, 40);
-      learnPace(tables.workers.byId.get('1') as never, 10);
+      recordPace(tables.workers.byId.get('0') as never, 40);
+      recordPace(tables.workers.byId.get('1') as never, 10);
     });
     askPlace(tables, ask({ id: 'long', outputTokens: 1_700 }), 0);
     expect(tables.placed.get('long')?.worker.id).toBe('1');
@@ -127,7 +127,7 @@
     const tables = makeTables([6, 6]);
     askPlace(tables, ask({ id: 'a' }), 0);
     const first = tables.placed.get('a')?.worker.id;
-    notePlaced(tables, makeNews('a', 'unreached'), 10);
+    applyPlacementUpdate(tables, makeNews('a', 'unreached'), 10);
     askPlace(tables, ask({ id: 'b' }), 20);
     expect(tables.placed.get('b')?.worker.id).not.toBe(first);
   });
@@ -139,15 +139,15 @@
   it('should give slots that an entry avoids to the requests of others, in their order', () => {
     const tables = makeTables([1, 1]);
     askPlace(tables, ask({ id: 'busy', avoidedIds: ['0'] }), 0);
-    const decisions = askPlaces(tables, [
+    const decisions = requestSlots(tables, [
       ask({ id: 'a', avoidedIds: ['0'], targetMs: 5_000 }),
       ask({ id: 'b', entryId: 'e2', targetMs: 5_000 }),
       ask({ id: 'c', entryId: 'e2', targetMs: 5_000 }),
     ], 1);
     expect(tables.placed.get('busy')?.worker.id).toBe('1');
     expect(listGranted(decisions)).toEqual(['b']);
-    notePlaced(tables, makeNews('busy'), 10);
-    expect(listGranted(runPlacement(tables, 10))).toEqual(['a']);
+    applyPlacementUpdate(tables, makeNews('busy'), 10);
+    expect(listGranted(placeWaiting(tables, 10))).toEqual(['a']);
   });
 
   it('should estimate a wait by the slots that the entry of the request may have', () => {
@@ -181,10 +181,10 @@
   it('should count prompt tokens as pending until the first event', () => {
     const tables = makeTables([4]);
     askPlace(tables, ask({ id: 'a', promptTokens: 5_000 }), 0);
-    notePlaced(tables, makeNews('a', 'running'), 10);
-    notePlaced(tables, makeNews('a', 'running'), 20);
+    applyPlacementUpdate(tables, makeNews('a', 'running'), 10);
+    applyPlacementUpdate(tables, makeNews('a', 'running'), 20);
     expect(tables.workers.byId.get('0')?.pendingTokens).toBe(0);
-    notePlaced(tables, makeNews('a'), 30);
+    applyPlacementUpdate(tables, makeNews('a'), 30);
     expect(tables.workers.byId.get('0')?.pendingTokens).toBe(0);
   });
 
@@ -197,19 +197,19 @@
     const lasts = 700;
     const ends = new Map<string, number>();
     const began = new Map<string, number>();
-    const note = (decisions: readonly PlaceDecision[], now: number): void => decisions
+    const note = (decisions: readonly PlacementDecision[], now: number): void => decisions
       .filter(({ kind }) => kind === 'grant')
       .forEach(({ id }) => {
         ends.set(id, now + lasts);
         began.set(id, now);
       });
-    const asked: PlaceAsk[] = [];
+    const asked: SlotRequest[] = [];
     Array.from({ length: 2_000 }, (unused, step) => step * 5).forEach((now) => {
       [...ends].filter(([, at]) => at <= now).forEach(([id]) => {
         ends.delete(id);
-        notePlaced(tables, makeNews(id), now);
+        applyPlacementUpdate(tables, makeNews(id), now);
       });
-      note(runPlacement(tables, now), now);
+      note(placeWaiting(tables, now), now);
       if (now % 25 !== 0) return;
       const request = ask({
         id: `r${now}`, rank: (now / 25) % 3, askedAt: now, targetMs: 1_000, deadlineAt: now + 15_000,
@@ -229,15 +229,15 @@
     const tables = makeTables([6, 6], readKind);
     const copies = ['a1', 'a2', 'b1', 'c1'].map((id) => (
       ask({ id, fingerprint: `alone:${id.charAt(0)}`, targetMs: 5_000 })));
-    expect(listGranted(askPlaces(tables, copies, 0))).toEqual(['a1', 'b1']);
+    expect(listGranted(requestSlots(tables, copies, 0))).toEqual(['a1', 'b1']);
     expect(['0', '1'].map((id) => countHeld(tables, id))).toEqual([1, 1]);
-    notePlaced(tables, makeNews('a1'), 10);
-    expect(listGranted(runPlacement(tables, 10))).toEqual(['a2']);
+    applyPlacementUpdate(tables, makeNews('a1'), 10);
+    expect(listGranted(placeWaiting(tables, 10))).toEqual(['a2']);
   });
 
   it('should keep slots for others while a suspect waits', () => {
     const tables = makeTables([6], readKind);
-    const decisions = askPlaces(tables, [
+    const decisions = requestSlots(tables, [
       ask({ id: 'held', fingerprint: 'held:a', targetMs: 5_000 }),
       ask({ id: 'other', fingerprint: 'none:b' }),
       ask({ id: 'plain' }),
@@ -248,7 +248,7 @@
 
   it('should refuse what is quarantined at once, by its own code and with its time', () => {
     const tables = makeTables([6], readKind);
-    expect(askPlaces(tables, [ask({ id: 'a', fingerprint: 'refused:a' })], 0)).toMatchObject([
+    expect(requestSlots(tables, [ask({ id: 'a', fingerprint: 'refused:a' })], 0)).toMatchObject([
       { kind: 'refuse', code: 'requestQuarantined', retryAfterMs: 60_000 },
     ]);
     expect(tables.waiting.size).toBe(0);
--- a/tests/core/placementModel.ts
+++ b/tests/core/placementModel.ts
@@ -7,10 +7,10 @@
 import { makeMechanisms } from '../../src/core/routing/mechanisms';
 import type { Mechanism } from '../../src/core/routing/mechanisms';
 import {
-  askPlaces, makePlacement, notePlaced, runPlacement,
+  requestSlots, makePlacementTables, applyPlacementUpdate, placeWaiting,
 } from '../../src/core/routing/placement';
-import type { PlaceDecision, PlacedNews } from '../../src/core/routing/placement';
-import type { PlaceAsk, PlacementTables } from '../../src/core/routing/placementTables';
+import type { PlacementDecision, PlacementUpdate } from '../../src/core/routing/placement';
+import type { SlotRequest, PlacementTables } from '../../src/core/routing/placementTables';
 import { applyRecords, makeRoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { WorkerRecord } from '../../src/protocol/generated/beechlift';
 
@@ -32,7 +32,7 @@
 }
 
 /** What is played. */
-export interface ModelSheet {
+export interface ModelWorkload {
   readonly slots: number;
   /** How much longer work takes, engine by engine. */
   readonly slowness: readonly number[];
@@ -45,7 +45,7 @@
 /** A request of a caller. */
 interface ModelRequest {
   readonly kind: ModelKind;
-  readonly ask: PlaceAsk;
+  readonly ask: SlotRequest;
   /** When its caller first asked. */
   readonly bornAt: number;
   readonly isReturned: boolean;
@@ -122,7 +122,7 @@
   private counter = 0;
 
   constructor(
-    private readonly sheet: ModelSheet,
+    private readonly sheet: ModelWorkload,
     seed: number,
     off: readonly Mechanism[] = [],
   ) {
@@ -134,7 +134,7 @@
       },
       standing: 'ready',
     })));
-    this.tables = makePlacement(workers);
+    this.tables = makePlacementTables(workers);
   }
 
   /** Plays all arrivals, and goes on until every request has ended. */
@@ -197,7 +197,7 @@
       event.run();
     }
     this.now = at;
-    this.take(runPlacement(this.tables, at));
+    this.take(placeWaiting(this.tables, at));
     this.check();
   }
 
@@ -210,7 +210,7 @@
   private ask(kind: ModelKind, bornAt: number, isReturned: boolean): void {
     this.counter += 1;
     const outputTokens = this.drawLength(kind.outputTokens, kind.spread);
-    const ask: PlaceAsk = {
+    const ask: SlotRequest = {
       id: `r${this.counter}`,
       entryId: 'e1',
       service: SERVICE,
@@ -226,10 +226,10 @@
     this.requests.set(ask.id, {
       kind, ask, bornAt, isReturned, outputTokens,
     });
-    this.take(askPlaces(this.tables, [ask], this.now));
+    this.take(requestSlots(this.tables, [ask], this.now));
   }
 
-  private take(decisions: readonly PlaceDecision[]): void {
+  private take(decisions: readonly PlacementDecision[]): void {
     decisions.forEach((decision) => {
       const request = this.requests.get(decision.id);
       if (!request) return;
@@ -273,10 +273,10 @@
 
   private tell(
     { ask }: ModelRequest,
-    phase: PlacedNews['phase'],
-    times: Partial<PlacedNews> = {},
+    phase: PlacementUpdate['phase'],
+    times: Partial<PlacementUpdate> = {},
   ): void {
-    notePlaced(this.tables, {
+    applyPlacementUpdate(this.tables, {
       id: ask.id, phase, paceMs: 0, firstEventMs: 0, outputMs: 0, ...times,
     }, this.now);
   }
@@ -285,7 +285,7 @@
     request: ModelRequest,
     phase: 'ended' | 'dropped',
     firstAt: number,
-    times: Partial<PlacedNews> = {},
+    times: Partial<PlacementUpdate> = {},
   ): void {
     const { kind, bornAt, ask } = request;
     this.requests.delete(ask.id);
@@ -297,7 +297,7 @@
       this.counts[isLate ? 'late' : 'onTime'] += 1;
       this.counts.worth += isLate ? kind.lateWorth : kind.worth;
     }
-    this.take(runPlacement(this.tables, this.now));
+    this.take(placeWaiting(this.tables, this.now));
   }
 
   /** Looks for what must never be: a slot given twice, or idle while a request waits for one. */
--- a/tests/core/work-per-decision.spec.ts
+++ b/tests/core/work-per-decision.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { LeaderBook } from '../../src/control/leaderBook';
 import {
-  applyRecords, learnPace, listLoads, makeRoutedWorkers,
+  applyRecords, recordPace, listLoads, makeRoutedWorkers,
 } from '../../src/core/routing/routedWorkers';
 import type { RoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { chooseRoutedWorker } from '../../src/core/routing/workerChoice';
@@ -34,7 +34,7 @@
     }))));
   let reads = 0;
   workers.byId.forEach((worker) => {
-    learnPace(worker, 10);
+    recordPace(worker, 10);
     const { paceMs } = worker;
     Object.defineProperty(worker, 'paceMs', {
       get: () => {
@@ -48,7 +48,7 @@
 
 const choose = (workers: RoutedWorkers): void => {
   chooseRoutedWorker(workers, {
-    service: 'lm', promptTokens: 100, outputTokens: 10, remainingMs: 9_000, zone: 'a', tried: [], mustBeFree: true,
+    service: 'lm', promptTokens: 100, outputTokens: 10, remainingMs: 9_000, zone: 'a', tried: [], requiresFreeSlot: true,
   }, 0);
 };
 
--- a/tests/core/worker-starts.spec.ts
+++ b/tests/core/worker-incarnations.spec.ts
@@ -2,10 +2,10 @@
 import { describe, expect, it } from 'vitest';
 import { WorkerRegistry } from '../../src/control/workerRegistry';
 import {
-  adoptRecord, listChangedWorkers, makeWorkerTable, noteAnnouncement,
+  adoptRecord, listChangedWorkers, makeWorkerTable, applyAnnouncement,
 } from '../../src/core/routing/workerTable';
 import type { WorkerTable } from '../../src/core/routing/workerTable';
-import { askPlaces, makePlacement, notePlaced } from '../../src/core/routing/placement';
+import { requestSlots, makePlacementTables, applyPlacementUpdate } from '../../src/core/routing/placement';
 import { applyRecords, makeRoutedWorkers, suspendWorker } from '../../src/core/routing/routedWorkers';
 import { WatchReply, WorkerAnnouncement } from '../../src/protocol/generated/beechlift';
 import { makeLogger } from '../../src/telemetry/logger';
@@ -31,21 +31,21 @@
    */
   it('should be taken in at its first announcement, whatever its count', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, say({ sequence: 90 }), 0);
     const { revision } = table;
-    noteAnnouncement(table, say({ born: BIRTH + 5, address: '10.0.0.1:81' }), 10);
+    applyAnnouncement(table, say({ born: BIRTH + 5, address: '10.0.0.1:81' }), 10);
     expect(read(table)).toEqual([5, 'ready']);
     expect(listChangedWorkers(table, 'e', revision)).toHaveLength(1);
-    expect(table.holders.has('10.0.0.1:80')).toBe(false);
+    expect(table.idByAddress.has('10.0.0.1:80')).toBe(false);
   });
 
   // The server had taken its leave, and was gone for good whatever it said after its next start.
   it('should be taken in after the start before has left', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 90 }), 0);
-    noteAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 10);
+    applyAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 10);
     expect(read(table)).toEqual([0, 'gone']);
-    noteAnnouncement(table, say({ born: BIRTH + 5 }), 20);
+    applyAnnouncement(table, say({ born: BIRTH + 5 }), 20);
     expect(read(table)).toEqual([5, 'ready']);
   });
 
@@ -55,10 +55,10 @@
    */
   it('should not be spoken for by its earlier start, whose farewell comes late', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 90 }), 0);
-    noteAnnouncement(table, say({ born: BIRTH + 5 }), 10);
-    noteAnnouncement(table, say({ sequence: 91, state: 'draining' }), 20);
-    noteAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 30);
+    applyAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, say({ born: BIRTH + 5 }), 10);
+    applyAnnouncement(table, say({ sequence: 91, state: 'draining' }), 20);
+    applyAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 30);
     expect(read(table)).toEqual([5, 'ready']);
   });
 
@@ -68,15 +68,15 @@
    */
   it('should only pause for a farewell without a start that may be the one before\'s', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 90 }), 0);
-    noteAnnouncement(table, say({ born: BIRTH + 5 }), 10);
-    noteAnnouncement(table, say({
+    applyAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, say({ born: BIRTH + 5 }), 10);
+    applyAnnouncement(table, say({
       born: 0, state: 'gone', sequence: 0, address: '',
     }), 20);
     expect(read(table)).toEqual([5, 'draining']);
-    noteAnnouncement(table, say({ born: BIRTH + 5, sequence: 2 }), 1_200);
+    applyAnnouncement(table, say({ born: BIRTH + 5, sequence: 2 }), 1_200);
     expect(read(table)).toEqual([5, 'ready']);
-    noteAnnouncement(table, say({
+    applyAnnouncement(table, say({
       born: 0, state: 'gone', sequence: 0, address: '',
     }), 60_000);
     expect(read(table)).toEqual([5, 'gone']);
@@ -84,8 +84,8 @@
 
   it('should not be spoken for by an announcement that names no start', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 2 }), 0);
-    noteAnnouncement(table, say({ born: 0, sequence: 9, state: 'draining' }), 10);
+    applyAnnouncement(table, say({ sequence: 2 }), 0);
+    applyAnnouncement(table, say({ born: 0, sequence: 9, state: 'draining' }), 10);
     expect(read(table)).toEqual([0, 'ready']);
   });
 
@@ -95,11 +95,11 @@
    */
   it('should be taken in although its clock went back, once the start before is silent', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, say({ sequence: 90 }), 0);
     [1, 2, 3, 4].forEach((sequence) => (
-      noteAnnouncement(table, say({ born: BIRTH - 2_400, sequence }), 1_000 + sequence * 1_200)));
+      applyAnnouncement(table, say({ born: BIRTH - 2_400, sequence }), 1_000 + sequence * 1_200)));
     expect(read(table)).toEqual([-2_400, 'ready']);
-    noteAnnouncement(table, say({ sequence: 91 }), 6_000);
+    applyAnnouncement(table, say({ sequence: 91 }), 6_000);
     expect(read(table)).toEqual([-2_400, 'ready']);
   });
 
@@ -109,11 +109,11 @@
    */
   it('should not give way to an earlier start whose announcements all come at once', () => {
     const table = makeWorkerTable('e');
-    noteAnnouncement(table, say({ sequence: 1 }), 0);
+    applyAnnouncement(table, say({ sequence: 1 }), 0);
     [5, 6, 7, 8].forEach((sequence) => (
-      noteAnnouncement(table, say({ born: BIRTH - 9_000, sequence }), 100)));
-    noteAnnouncement(table, say({ sequence: 2 }), 1_200);
-    noteAnnouncement(table, say({ born: BIRTH - 9_000, sequence: 9 }), 5_000);
+      applyAnnouncement(table, say({ born: BIRTH - 9_000, sequence }), 100)));
+    applyAnnouncement(table, say({ sequence: 2 }), 1_200);
+    applyAnnouncement(table, say({ born: BIRTH - 9_000, sequence: 9 }), 5_000);
     expect(read(table)).toEqual([0, 'ready']);
   });
 
@@ -123,12 +123,12 @@
    */
   it('should stay superseded in what other replicas take over', () => {
     const [leading, following] = [makeWorkerTable('a'), makeWorkerTable('b')];
-    noteAnnouncement(leading, say({ sequence: 90 }), 0);
+    applyAnnouncement(leading, say({ sequence: 90 }), 0);
     const [early] = listChangedWorkers(leading, '', 0);
-    noteAnnouncement(leading, say({ born: BIRTH + 5 }), 10);
+    applyAnnouncement(leading, say({ born: BIRTH + 5 }), 10);
     listChangedWorkers(leading, '', 0).forEach((record) => adoptRecord(following, record, 20));
     adoptRecord(following, early as never, 30);
-    noteAnnouncement(following, say({ sequence: 91 }), 40);
+    applyAnnouncement(following, say({ sequence: 91 }), 40);
     expect(read(following)).toEqual([5, 'ready']);
   });
 
@@ -138,22 +138,22 @@
    */
   it('should begin with all its slots free and nothing learnt', () => {
     const workers = makeRoutedWorkers();
-    const tables = makePlacement(workers);
+    const tables = makePlacementTables(workers);
     const table = makeWorkerTable('e');
     const inform = () => applyRecords(workers, listChangedWorkers(table, '', 0));
     const ask = (id: string) => ({
       id, entryId: 'e1', service: 'rooms', rank: 0, promptTokens: 100, outputTokens: 20, targetMs: 500, deadlineAt: 10_000, zone: 'a', tried: [], askedAt: 0,
     });
-    noteAnnouncement(table, say({ slots: 2, sequence: 50 }), 0);
+    applyAnnouncement(table, say({ slots: 2, sequence: 50 }), 0);
     inform();
-    askPlaces(tables, [ask('r1'), ask('r2')], 0);
+    requestSlots(tables, [ask('r1'), ask('r2')], 0);
     suspendWorker(workers.byId.get('w1') as never, 5);
-    noteAnnouncement(table, say({ slots: 2, born: BIRTH + 5 }), 10);
+    applyAnnouncement(table, say({ slots: 2, born: BIRTH + 5 }), 10);
     inform();
-    const decisions = askPlaces(tables, [ask('r3'), ask('r4')], 20);
+    const decisions = requestSlots(tables, [ask('r3'), ask('r4')], 20);
     expect(decisions.map(({ kind }) => kind)).toEqual(['grant', 'grant']);
     // What the start before held ends now, and frees none of the new start's slots.
-    notePlaced(tables, {
+    applyPlacementUpdate(tables, {
       id: 'r1', phase: 'unreached', paceMs: 0, firstEventMs: 0, outputMs: 0,
     }, 30);
     expect(workers.byId.get('w1'))
