--- a/tests/control/worker-news.spec.ts
+++ b/tests/control/worker-updates.spec.ts
@@ -34,11 +34,11 @@
       countEntries: () => entries,
     });
     let answers = 0;
-    const ask = (): Promise<void> => watches.hold(1_000).then(() => {
+    const watch = (): Promise<void> => watches.hold(1_000).then(() => {
       answers += 1;
-      return ask();
+      return watch();
     });
-    Array.from({ length: entries }).forEach(() => ask().catch(() => undefined));
+    Array.from({ length: entries }).forEach(() => watch().catch(() => undefined));
     const positions = Array.from({ length: SERVERS }, (unused, position) => position);
     await positions.reduce<Promise<void>>(async (before, position) => {
       await before;
--- a/tests/core/work-per-decision.spec.ts
+++ b/tests/core/work-per-decision.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { LeaderBook } from '../../src/control/leaderBook';
+import { LeaderState } from '../../src/control/leaderState';
 import {
   applyRecords, recordPace, listLoads, makeRoutedWorkers,
 } from '../../src/core/routing/routedWorkers';
@@ -82,17 +82,17 @@
 
   it.each(SIZES)('should not grow with the entries for a question of one of %i', (count) => {
     let now = 0;
-    const book = new LeaderBook({ clock: { now: () => now }, leaseMs: 4_000, limitSlack: 0 });
+    const book = new LeaderState({ clock: { now: () => now }, leaseMs: 4_000, limitSlack: 0 });
     let reads = 0;
     const questions = Array.from({ length: count }, (unused, position) => (
       makeQuestion(`e${position}`, () => {
         reads += 1;
       })));
-    questions.forEach((question) => book.noteEntry(question));
+    questions.forEach((question) => book.recordEntry(question));
     now += 100;
     reads = 0;
     questions.forEach((question) => {
-      book.noteEntry(question);
+      book.recordEntry(question);
       book.buildEntryPart(question);
     });
     expect(reads).toBeLessThanOrEqual(FEW * count);
--- a/tests/core/worker-incarnations.spec.ts
+++ b/tests/core/worker-incarnations.spec.ts
@@ -219,7 +219,7 @@
     },
     changeLeader: () => {
       this.replicas = [this.replicas[1], this.replicas[0]];
-      this.replicas[0].lead();
+      this.replicas[0].startLeading();
     },
   };
 
@@ -244,7 +244,7 @@
   private takeIn(said: WorkerAnnouncement): void {
     const [leader, follower] = this.replicas;
     leader.take(said);
-    follower.follow(WatchReply.fromPartial(leader.buildPart({ workersEpoch: '', workersRevision: 0 } as never)));
+    follower.applyReply(WatchReply.fromPartial(leader.buildPart({ workersEpoch: '', workersRevision: 0 } as never)));
     const { born } = this.table.workers.get('w1')?.said ?? { born: 0 };
     if (this.taken.at(-1) !== born) this.taken.push(born);
   }
