--- a/src/core/claims/ballot.ts
+++ b/src/core/claims/ballot.ts
@@ -1,10 +1,10 @@
 import type { Ballot } from '../../protocol/generated/beechlift';
 
-/** Below every ballot that is ever proposed. */
+/** Lower than every proposed ballot. */
 export const ZERO_BALLOT: Ballot = { round: 0, proposer: '' };
 
 /**
- * Compares two ballots by round, then by proposer; negative when the first is lower.
+ * Compares two ballots by round, then by proposer. Negative when the first is lower.
  *
  * @example
  * if (compareBallots(ballot, record.promised) < 0) refuse();
--- a/src/core/claims/claimQuorum.ts
+++ b/src/core/claims/claimQuorum.ts
@@ -4,7 +4,7 @@
 import { rankByRendezvous } from '../../utils/rendezvous';
 import { compareBallots, ZERO_BALLOT } from './ballot';
 
-/** Holders of one claim: three in different availability zones where there are as many. */
+/** Holders of one claim, in different availability zones if there are enough zones. */
 export const HOLDERS_PER_CLAIM = 3;
 
 const pickHolders = (replicas: readonly Replica[], key: string): Replica[] => {
@@ -17,14 +17,15 @@
   return [...firstPerZone, ...others].slice(0, HOLDERS_PER_CLAIM);
 };
 
-/** The groups that must each agree by majority: one, or two while holders are being replaced. */
+/** Groups that must each agree by majority: one, or two while holders are being replaced. */
 export interface HolderGroups {
+  /** Number of the holder set. */
   readonly number: number;
   readonly groups: readonly (readonly Replica[])[];
 }
 
 /**
- * Finds the holders of a claim.
+ * Finds the holder groups of a claim.
  *
  * @example
  * const { groups } = findHolderGroups(holderSet, key);
@@ -36,7 +37,7 @@
     .filter((group) => group.length > 0),
 });
 
-/** All holders asked, each once. */
+/** Lists the holders of all groups, each once. */
 export const listHolders = ({ groups }: HolderGroups): Replica[] => (
   [...new Map(groups.flat().map((replica) => [replica.id, replica])).values()]
 );
@@ -44,7 +45,7 @@
 /** Replies by holder id. */
 export type ClaimReplies = ReadonlyMap<string, ClaimReply>;
 
-/** What the replies so far mean. */
+/** Outcome of a round, given the replies so far. */
 export type QuorumState = 'won' | 'lost' | 'open';
 
 const countMembers = (
@@ -53,11 +54,12 @@
 ): number => group.filter(({ id }) => ids.has(id)).length;
 
 /**
- * Judges a round: won when a majority of every group agreed, lost when one no longer can.
+ * Evaluates a round: won when a majority of every group accepted, lost when some group can no
+ * longer reach a majority, open otherwise.
  *
  * @param failed holders that could not be reached
  * @example
- * const state = judgeQuorum(groups, replies, failed);
+ * const state = evaluateQuorum(groups, replies, failed);
  */
 export const evaluateQuorum = (
   { groups }: HolderGroups,
@@ -74,10 +76,11 @@
 };
 
 /**
- * Finds the value that the replies of a won prepare round bind the proposer to, if any.
+ * Finds the value with the highest accepted ballot in the replies of a won prepare round. The
+ * proposer must propose this value; undefined when it is free to choose.
  *
  * @example
- * const value = findBoundValue(replies.values());
+ * const value = findAcceptedValue(replies.values());
  */
 export const findAcceptedValue = (replies: Iterable<ClaimReply>): ClaimValue | undefined => {
   const [newest] = [...replies]
@@ -87,10 +90,10 @@
 };
 
 /**
- * Computes a ballot above all that were seen.
+ * Computes a ballot that is higher than `minimum` and than all ballots in the replies.
  *
  * @example
- * const ballot = raiseBallot('e1:7f3a', replies.values());
+ * const ballot = computeNextBallot('e1:7f3a', replies.values());
  */
 export const computeNextBallot = (
   proposer: string,
--- a/src/core/claims/claimTable.ts
+++ b/src/core/claims/claimTable.ts
@@ -2,10 +2,10 @@
 import type { ResultCode } from '../../errors/resultCodes';
 import { compareBallots, ZERO_BALLOT } from './ballot';
 
-/** What a claim says of its request. */
+/** State of the request that a claim is for. */
 export type ClaimState = 'dispatched' | 'finished' | 'released';
 
-/** A claim as one holder keeps it. */
+/** A claim as stored by one holder. */
 export interface ClaimEntity {
   readonly key: string;
   promised: Ballot;
@@ -15,26 +15,26 @@
   touchedAt: number;
 }
 
-/** The claims of one holder, oldest change first. */
+/** The claims of one holder, least recently changed first. */
 export interface ClaimTable {
   readonly claims: Map<string, ClaimEntity>;
-  /** Bytes of kept answers, which are bounded. */
+  /** Total bytes of the stored answers, limited by `ClaimBounds.maxBytes`. */
   bytes: number;
 }
 
-/** Bounds of a claim table. */
+/** Limits of a claim table. */
 export interface ClaimBounds {
   readonly retentionMs: number;
   readonly maxClaims: number;
   readonly maxBytes: number;
 }
 
-/** Bounds that keep a holder well within its memory. */
+/** Default limits, chosen to keep a holder well within its memory. */
 export const DEFAULT_CLAIM_BOUNDS: ClaimBounds = {
   retentionMs: 600_000, maxClaims: 400_000, maxBytes: 268_435_456,
 };
 
-/** A holder's answer, and the record to sync before the answer leaves. */
+/** Reply of a holder, and the record that must be synced before the reply is sent. */
 export interface ClaimDecision {
   readonly ok: boolean;
   readonly code: ResultCode | 'accepted';
@@ -44,7 +44,7 @@
   readonly record: ClaimRecord | undefined;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export const makeClaimTable = (): ClaimTable => ({ claims: new Map(), bytes: 0 });
 
 const countBytes = (value: ClaimValue | undefined): number => value?.answer.length ?? 0;
@@ -72,7 +72,7 @@
   key, promised: ZERO_BALLOT, accepted: ZERO_BALLOT, value: undefined, touchedAt: now,
 });
 
-/** Moves a claim to the newest end, so that expiry looks at the oldest only. */
+/** Moves a claim to the end of the table, so that expired claims are at its start. */
 const touchClaim = (table: ClaimTable, claim: ClaimEntity, now: number): void => {
   claim.touchedAt = now;
   table.claims.delete(claim.key);
@@ -85,8 +85,9 @@
 );
 
 /**
- * Promises to take nothing below a ballot, and tells what was accepted so far. The promise is the
- * claim: whoever holds it at a majority may dispatch, until another takes it with a higher ballot.
+ * Promises to accept nothing below a ballot and returns what was accepted so far. An entry that has
+ * the promise of a majority may dispatch the request, until another entry obtains a promise with a
+ * higher ballot.
  *
  * @example
  * const decision = prepareClaim(table, bounds, key, { round: 1, proposer: 'e1' }, clock.now());
@@ -107,8 +108,9 @@
 };
 
 /*
- * Guards against a paused entry that wakes after its claim was taken over: its ballot is below what
- * the majority has promised since, so its dispatch is refused before any byte leaves.
+ * Accepts a value unless a higher ballot was promised. This guards against a paused entry that
+ * resumes after its claim was taken over: its ballot is lower than the one that the majority has
+ * promised meanwhile, so its dispatch is rejected before any byte is sent.
  */
 export const acceptClaim = (
   table: ClaimTable,
@@ -130,7 +132,7 @@
 };
 
 /**
- * Puts a record from disk or from another holder into the table; the higher accepted ballot wins.
+ * Merges a record from disk or from another holder into the table. The higher accepted ballot wins.
  *
  * @example
  * records.forEach((record) => mergeClaim(table, record, clock.now()));
@@ -150,7 +152,7 @@
 };
 
 /**
- * Forgets claims that have not changed for the retention; returns how many.
+ * Removes claims that have not changed within the retention time and returns their number.
  *
  * @example
  * expireClaims(table, bounds, clock.now());
@@ -166,7 +168,7 @@
   return expired.length;
 };
 
-/** All claims as records, for a compacted file or another holder. */
+/** Lists all claims as records, for a compacted file or another holder. */
 export const listClaimRecords = (table: ClaimTable): ClaimRecord[] => (
   [...table.claims.values()].map(makeRecord)
 );
--- a/src/core/log/election.ts
+++ b/src/core/log/election.ts
@@ -6,7 +6,7 @@
 } from './logState';
 import type { LogMessageKind, LogState, LogStep } from './logTypes';
 
-/** Whether the log of a candidate holds at least what this replica's does. */
+/** Whether the log of a candidate is at least as up to date as the log of this replica. */
 const isUpToDate = (state: LogState, message: LogMessage): boolean => {
   const lastTerm = readLastTerm(state);
   if (message.lastTerm !== lastTerm) return message.lastTerm > lastTerm;
@@ -14,10 +14,10 @@
 };
 
 /*
- * Guards the lease of a leader: while this replica has heard from one within the election time it
- * helps no other to power. Were it to vote, a manifest could be accepted by a new leader while the
- * old one still grants configuration leases on an older version. The leader itself counts the same
- * time from before it sent, less a margin, so its lease ends first.
+ * Protects the leader lease: a replica grants no vote within the election timeout after its last
+ * contact with a leader. Otherwise a new leader could accept a manifest while the old leader still
+ * grants configuration leases on an older version. The leader measures the same timeout from the
+ * time of sending and subtracts a margin, so its lease ends first.
  */
 const hasLeaderContact = ({ state, now }: LogStep): boolean => (
   state.role === 'leader' || now - state.lastLeaderContactAt < state.timings.electionTimeoutMs
@@ -46,8 +46,9 @@
 };
 
 /**
- * Asks whether an election could be won, without raising the term: a VM that was cut off and
- * returns does not unseat a leader that the others hear.
+ * Starts a pre-vote: checks whether an election could be won, without raising the term. A VM that
+ * returns after a network partition therefore does not depose a leader that the other replicas can
+ * reach.
  *
  * @example
  * if (now >= state.electionAt) startPreVote(step);
@@ -64,9 +65,10 @@
 };
 
 /*
- * Guards against a split vote after a restart of all, when replicas ask within the same
- * milliseconds: were both granted, both would stand, and a whole silence would pass before the next
- * try. Of two with the same log the one with the lower id goes first.
+ * Guards against a split vote after a restart of all replicas, when several start a pre-vote within
+ * the same milliseconds. If two replicas granted each other's pre-vote, both would start an
+ * election, and a full election timeout would pass before the next attempt. Between replicas with
+ * equal logs, the one with the lower id has priority.
  */
 const hasTieBreakPriority = (state: LogState, message: LogMessage): boolean => {
   const isSameLog = message.lastTerm === readLastTerm(state)
@@ -74,7 +76,7 @@
   return state.role !== 'preCandidate' || !isSameLog || message.from < state.id;
 };
 
-/** Answers a pre-vote; nothing is promised by it. */
+/** Answers a pre-vote request. The answer does not commit this replica to anything. */
 export const handlePreVote = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   const granted = !hasLeaderContact(step)
@@ -86,7 +88,7 @@
   });
 };
 
-/** Counts a pre-vote. */
+/** Counts a granted pre-vote and starts the election when a majority has granted it. */
 export const handlePreVoteReply = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (!message.granted) {
@@ -98,7 +100,7 @@
   if (hasMajority(state, state.votes)) startElection(step);
 };
 
-/** Votes at most once a term; the vote is synced before the answer leaves. */
+/** Answers a vote request. Grants one vote per term and syncs it to disk before the reply. */
 export const handleVote = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term < state.term || (hasLeaderContact(step) && state.leaderId !== message.from)) {
@@ -116,7 +118,7 @@
   sendMessage(step, 'voteReply', message.from, { granted });
 };
 
-/** Counts a vote. */
+/** Counts a granted vote and becomes leader when a majority has granted it. */
 export const handleVoteReply = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term > state.term) {
--- a/src/core/log/logState.ts
+++ b/src/core/log/logState.ts
@@ -4,14 +4,14 @@
   HardState, LogEffect, LogMessageKind, LogState, LogStep, LogTimings, ReplicaSet, StoredLog,
 } from './logTypes';
 
-/** Prefix of a log command that changes the replica set rather than the state machine. */
+/** Prefix of log commands that change the replica set instead of the state machine. */
 export const REPLICAS_COMMAND_PREFIX = 'replicas:';
 
 /**
- * Timings for sites whose availability zones are a few milliseconds apart. A follower stands for
- * election after four to eight lost rounds: long against a retransmission on a lossy link (some
- * 200 ms), short against what callers notice of a site whose processes were all killed, which takes
- * one such silence longer to serve again.
+ * Timings for sites whose availability zones are a few milliseconds apart. A follower starts an
+ * election after four to eight missed heartbeats. That is longer than a retransmission on a lossy
+ * link (about 200 ms). It is short enough for callers, because a site whose processes were all
+ * killed needs one more election timeout until it serves again.
  */
 export const DEFAULT_LOG_TIMINGS: LogTimings = {
   heartbeatMs: 75,
@@ -21,10 +21,10 @@
 };
 
 /**
- * Makes the log that a new site starts with: empty, with the replicas of the settings.
+ * Creates the empty log of a new site, with the replicas from the settings.
  *
  * @example
- * const stored = makeEmptyLog({ voters: [a, b, c], learners: [] });
+ * const stored = makeEmptyLog({ voters: [a, b, c], learners: [], leaving: [] });
  */
 export const makeEmptyLog = (replicas: ReplicaSet): StoredLog => ({
   hardState: { term: 0, votedFor: '' },
@@ -41,19 +41,22 @@
 );
 
 /**
- * Finds the replica set in force: the newest one in the log, committed or not.
+ * Finds the replica set in force: the newest one in the log, whether committed or not.
  *
  * @example
  * state.replicas = findReplicas(state);
  */
 export const findReplicaSet = (state: Pick<LogState, 'entries' | 'snapshot'>): ReplicaSet => {
-  const entry = state.entries.findLast(({ command }) => command.startsWith(REPLICAS_COMMAND_PREFIX));
+  const entry = state.entries.findLast(
+    ({ command }) => command.startsWith(REPLICAS_COMMAND_PREFIX),
+  );
   return (entry && parseReplicaSet(entry)) ?? state.snapshot.replicas;
 };
 
 /**
- * Spread of the times at which replicas stand for election, as a part of the election time: many
- * times a round trip, so that one is usually elected before the next stands.
+ * Random part of the election timeout, as a fraction of it. The resulting differences between
+ * replicas are many round trips long, so one replica is usually elected before the next one starts
+ * an election.
  */
 const ELECTION_JITTER = 0.6;
 
@@ -61,14 +64,14 @@
   now + ms * (1 + ELECTION_JITTER * state.drawRandom())
 );
 
-/** When a replica began, in monotonic milliseconds. */
+/** Start time of a replica, in monotonic milliseconds. */
 export interface ReplicaStart {
-  /** Start of its process: nothing that this process acknowledged is older. */
+  /** Start of the process. The process cannot have acknowledged anything before this time. */
   readonly startedAt: number;
 }
 
 /**
- * Makes the state of a replica from what its disk holds.
+ * Creates the state of a replica from its stored log.
  *
  * @example
  * const state = makeLogState('c1', stored, Math.random, clock.now(), { startedAt: 0 });
@@ -97,10 +100,10 @@
     syncedIndex: stored.snapshot.index + stored.entries.length,
     electionAt: 0,
     /*
-     * Guards the lease of a leader that this replica acknowledged before it restarted: it counts
-     * the start of its process as a contact, so that it takes part in no election until that lease
-     * is over. A process that needed longer to start need not wait any more, which is the rule
-     * after all of a site was killed.
+     * Protects the lease of a leader that this replica acknowledged before a restart: the process
+     * start counts as a leader contact, so the replica takes part in no election until that lease
+     * has ended. A process whose start took longer than a lease does not wait, which is the usual
+     * case after all processes of a site were killed.
      */
     lastLeaderContactAt: startedAt,
     nextHeartbeatAt: 0,
@@ -118,43 +121,43 @@
   return state;
 };
 
-/** Index of the last entry, or of the snapshot when no entry follows it. */
+/** Returns the index of the last entry, or of the snapshot when no entry follows it. */
 export const readLastIndex = ({ snapshot, entries }: LogState): number => (
   snapshot.index + entries.length
 );
 
-/** Entry at an index, when it is neither compacted nor beyond the end. */
+/** Returns the entry at an index; undefined when it is compacted or beyond the end. */
 export const findEntry = (state: LogState, index: number): LogEntry | undefined => (
   state.entries[index - state.snapshot.index - 1]
 );
 
-/** Term of an index; undefined when it is compacted or beyond the end. */
+/** Returns the term at an index; undefined when it is compacted or beyond the end. */
 export const findTerm = (state: LogState, index: number): number | undefined => (
   index === state.snapshot.index ? state.snapshot.term : findEntry(state, index)?.term
 );
 
-/** Term of the last entry. */
+/** Returns the term of the last entry, or 0 for an empty log. */
 export const readLastTerm = (state: LogState): number => findTerm(state, readLastIndex(state)) ?? 0;
 
-/** Whether a replica votes. */
+/** Whether a replica is a voter. */
 export const isVoter = (state: LogState, id: string): boolean => (
   state.replicas.voters.some((replica) => replica.id === id)
 );
 
-/** Whether the replicas named, with those that are no voters left out, are a majority. */
+/** Whether the given replicas contain a majority of the voters. Other replicas are ignored. */
 export const hasMajority = (state: LogState, ids: Iterable<string>): boolean => {
   const voting = [...ids].filter((id) => isVoter(state, id));
   return voting.length > state.replicas.voters.length / 2;
 };
 
-/** All other replicas, learners included. */
+/** Lists the ids of all other replicas, including learners. */
 export const listPeers = (state: LogState): string[] => (
   [...state.replicas.voters, ...state.replicas.learners]
     .map(({ id }) => id)
     .filter((id) => id !== state.id)
 );
 
-/** The part of the state that votes and terms rest on. */
+/** Returns the part of the state that must be on disk before a vote is sent. */
 export const readHardState = ({ term, votedFor }: LogState): HardState => ({ term, votedFor });
 
 /** Adds an effect to the step. */
@@ -162,7 +165,7 @@
   step.effects.push(effect);
 };
 
-/** Adds a message to the step, with the fields that every message carries. */
+/** Adds a message to the step and fills in the fields that every message has. */
 export const sendMessage = (
   step: LogStep,
   kind: LogMessageKind,
@@ -175,22 +178,22 @@
   addEffect(step, { kind: 'send', message });
 };
 
-/** Writes term and vote, and entries that changed, before anything that follows is sent. */
+/** Persists term, vote and changed entries before any later message of the step is sent. */
 export const persistState = (step: LogStep, entries: readonly LogEntry[] = []): void => {
   addEffect(step, { kind: 'persist', hardState: readHardState(step.state), entries });
 };
 
-/** Starts the wait for the next election anew. */
+/** Restarts the timer for the next election. */
 export const resetElectionTimer = ({ state, now }: LogStep): void => {
   state.electionAt = drawDeadline(state, now, state.timings.electionTimeoutMs);
 };
 
-/** Starts the wait until votes are asked for again, where nobody is known to lead. */
+/** Restarts the timer for the next pre-vote, which is used while no leader is known. */
 export const resetPreVoteTimer = ({ state, now }: LogStep): void => {
   state.electionAt = drawDeadline(state, now, state.timings.preVoteIntervalMs);
 };
 
-/** Steps down to follower, in a newer term or under a known leader. */
+/** Becomes a follower, in a newer term or under a known leader. */
 export const becomeFollower = (step: LogStep, term: number, leaderId: string): void => {
   const { state } = step;
   const changed = state.role !== 'follower';
@@ -206,7 +209,7 @@
   if (changed) addEffect(step, { kind: 'roleChanged', role: 'follower', term: state.term });
 };
 
-/** Notes that the leader of the current term was heard. */
+/** Follows the leader that sent a message in the current or a newer term. */
 export const followLeader = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term > state.term || state.role !== 'follower') {
--- a/src/core/log/logTypes.ts
+++ b/src/core/log/logTypes.ts
@@ -1,73 +1,73 @@
 import type { LogEntry, LogMessage, Replica } from '../../protocol/generated/beechlift';
 
-/** What a replica is doing. */
+/** Role of a replica in its term. */
 export type LogRole = 'follower' | 'preCandidate' | 'candidate' | 'leader';
 
-/** Kinds of message between replicas. */
+/** Kinds of messages between replicas. */
 export type LogMessageKind = | 'preVote' | 'preVoteReply'
   | 'vote' | 'voteReply'
   | 'append' | 'appendReply'
   | 'snapshot' | 'snapshotReply';
 
-/** Who replicates the log. Learners receive it and do not vote. */
+/** The replicas of the log. Learners receive the log and do not vote. */
 export interface ReplicaSet {
   readonly voters: readonly Replica[];
   readonly learners: readonly Replica[];
-  /** Voters that go once every learner votes. */
+  /** Voters to be removed once every learner is a voter. */
   readonly leaving: readonly string[];
 }
 
-/** State of the log up to `index`, in place of the entries it was made from. */
+/** State of the log up to `index`. Replaces the entries that it was created from. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
   readonly replicas: ReplicaSet;
-  /** The state machine as text; the log does not look inside. */
+  /** The serialized state machine, opaque to the log. */
   readonly data: string;
 }
 
-/** What must be on disk before a vote or an acknowledgement leaves. */
+/** State that must be on disk before a vote or an acknowledgement is sent. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: string;
 }
 
-/** Everything a replica finds on its disk. */
+/** Everything that a replica stores on its disk. */
 export interface StoredLog {
   readonly hardState: HardState;
   readonly snapshot: Snapshot;
   readonly entries: readonly LogEntry[];
 }
 
-/** What a leader knows of another replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 export interface PeerProgress {
   nextIndex: number;
   matchIndex: number;
-  /** Last round that the peer acknowledged. */
+  /** Newest round that the peer acknowledged. */
   ackedRound: number;
-  /** Bytes of the snapshot that the peer holds; -1 when none is on its way. */
+  /** Bytes of the snapshot that the peer has received; -1 when no transfer is in progress. */
   snapshotOffset: number;
 }
 
 /** Durations of the log in milliseconds. */
 export interface LogTimings {
   readonly heartbeatMs: number;
-  /** Shortest silence after which a follower stands for election. */
+  /** Shortest time without contact to a leader after which a follower starts an election. */
   readonly electionTimeoutMs: number;
   /**
-   * Shortest time after which a replica that hears no leader asks again whether it could be
-   * elected. The question promises nothing and writes nothing, so it may be put often.
+   * Shortest time between two pre-votes of a replica that has no contact to a leader. A pre-vote
+   * commits nobody to anything and writes nothing to disk, so it may be frequent.
    */
   readonly preVoteIntervalMs: number;
-  /** Held back from the lease of a leader against clocks that run at unlike rates. */
+  /** Subtracted from the leader lease to allow for clocks that run at different rates. */
   readonly leaseMarginMs: number;
 }
 
-/** One replica's part of the log. Only the functions of this folder change it. */
+/** State of one replica of the log. Only the functions of this folder change it. */
 export interface LogState {
   readonly id: string;
   readonly timings: LogTimings;
-  /** Numbers from 0 to 1, from a seeded source in tests. */
+  /** Returns a random number from 0 to 1; tests use a seeded generator. */
   readonly drawRandom: () => number;
   role: LogRole;
   term: number;
@@ -78,37 +78,40 @@
   replicas: ReplicaSet;
   commitIndex: number;
   appliedIndex: number;
-  /** Last index that is synced on this replica's disk. */
+  /** Last index that is synced to this replica's disk. */
   syncedIndex: number;
+  /** When the next election or pre-vote is due, monotonic milliseconds. */
   electionAt: number;
+  /** When the last message of a leader was received, monotonic milliseconds. */
   lastLeaderContactAt: number;
+  /** When the leader sends its next round, monotonic milliseconds. */
   nextHeartbeatAt: number;
   votes: Set<string>;
   peers: Map<string, PeerProgress>;
   round: number;
-  /** When each round that is not yet acknowledged by a majority was sent. */
+  /** Send time of each recent round, monotonic milliseconds. */
   roundSentAt: Map<number, number>;
   /** Monotonic time until which no other leader can exist. */
   leaseUntil: number;
-  /** Pieces of a snapshot that is being received. */
+  /** Received chunks of a snapshot whose transfer is in progress. */
   incomingSnapshot: { index: number; term: number; chunks: Buffer[]; bytes: number } | undefined;
 }
 
-/** What happens to a replica. */
+/** Events that a replica handles. */
 export type LogEvent = | { readonly kind: 'tick' }
   | { readonly kind: 'message'; readonly message: LogMessage }
   | { readonly kind: 'propose'; readonly command: string }
-  /** The clock stood still for a while that nobody can tell, as when a VM is suspended. */
+  /** The monotonic clock stopped for an unknown time, as when a VM is suspended. */
   | { readonly kind: 'suspended' }
-  /** A round is to be sent that proves leadership without any clock. */
+  /** Requests a round that confirms the leadership without relying on a clock. */
   | { readonly kind: 'confirm' }
   | { readonly kind: 'changeReplicas'; readonly replicas: ReplicaSet }
   | { readonly kind: 'synced'; readonly index: number; readonly term: number }
   | { readonly kind: 'snapshotTaken'; readonly index: number; readonly data: string };
 
 /**
- * What a replica wants done. Effects are carried out in order: a `send` that stands behind a
- * `persist` leaves only after that is synced.
+ * Effects that the caller must carry out in order: a `send` after a `persist` is sent only once the
+ * `persist` is synced.
  */
 export type LogEffect = | { readonly kind: 'persist'; readonly hardState: HardState; readonly entries: readonly LogEntry[] }
   | { readonly kind: 'persistSnapshot'; readonly snapshot: Snapshot; readonly hardState: HardState; readonly entries: readonly LogEntry[] }
@@ -118,7 +121,7 @@
   | { readonly kind: 'roleChanged'; readonly role: LogRole; readonly term: number }
   | { readonly kind: 'proposed'; readonly index: number; readonly term: number };
 
-/** One step of a replica: its state, the time, and the effects so far. */
+/** One step of a replica: its state, the current time, and the effects so far. */
 export interface LogStep {
   readonly state: LogState;
   readonly now: number;
--- a/src/core/log/replicaPlan.ts
+++ b/src/core/log/replicaPlan.ts
@@ -1,33 +1,33 @@
 import type { Replica } from '../../protocol/generated/beechlift';
 import type { ReplicaSet } from './logTypes';
 
-/** What the leader knows when it looks after the replica set. */
+/** Input of the leader for planning the next change of the replica set. */
 export interface ReplicaPlanInput {
   readonly ownId: string;
   readonly replicas: ReplicaSet;
-  /** Replicas outside of the set that asked to take part and were heard of late. */
+  /** Replicas outside the set that recently asked to join it. */
   readonly newcomers: readonly Replica[];
-  /** Replicas that have acknowledged nothing for long. */
+  /** Replicas that have acknowledged nothing for longer than the time limit. */
   readonly unresponsive: ReadonlySet<string>;
-  /** Learners that hold nearly all of the log. */
+  /** Learners that have nearly all of the log. */
   readonly caughtUp: ReadonlySet<string>;
-  /** Voters that the site is to have. */
+  /** Desired number of voters. */
   readonly voterCount: number;
 }
 
-/** Learners at a time: one that takes over and one that stands by. */
+/** Maximum number of learners: one that replaces a voter and one standby. */
 const MAX_LEARNERS = 2;
 
 /*
- * A replica that lost its disk comes back under a new birth at the same address: the birth that
- * stood there before is lost for certain, without any wait.
+ * A replica that lost its disk returns with a new identity at the same address. The earlier
+ * identity at that address is then certainly lost, and no timeout is needed.
  */
 const isReplaced = (replica: Replica, others: readonly Replica[]): boolean => (
   others.some(({ id, address }) => address === replica.address && id !== replica.id)
 );
 
 const listFailedVoters = ({
-  replicas, newcomers, unresponsive: unresponsive, ownId,
+  replicas, newcomers, unresponsive, ownId,
 }: ReplicaPlanInput): Replica[] => {
   const others = [...newcomers, ...replicas.learners, ...replicas.voters];
   return replicas.voters.filter((voter) => voter.id !== ownId
@@ -45,7 +45,9 @@
   return replaceLearners(replicas, [...replicas.learners, newcomer]);
 };
 
-const listHealthyLearners = ({ replicas, newcomers, unresponsive: unresponsive }: ReplicaPlanInput): Replica[] => (
+const listHealthyLearners = (
+  { replicas, newcomers, unresponsive }: ReplicaPlanInput,
+): Replica[] => (
   replicas.learners.filter((learner) => (
     !unresponsive.has(learner.id) && !isReplaced(learner, newcomers)))
 );
@@ -53,7 +55,9 @@
 const removeFailedLearners = (input: ReplicaPlanInput): ReplicaSet | undefined => {
   const { replicas } = input;
   const healthy = listHealthyLearners(input);
-  return healthy.length === replicas.learners.length ? undefined : replaceLearners(replicas, healthy);
+  return healthy.length === replicas.learners.length
+    ? undefined
+    : replaceLearners(replicas, healthy);
 };
 
 const promoteLearner = (input: ReplicaPlanInput): ReplicaSet | undefined => {
@@ -77,12 +81,12 @@
 };
 
 /**
- * Plans the next step by which the replica set heals itself, or undefined when none is due. One
- * that lost its disk, or was exchanged for another machine, is retired only once its successor has
- * caught up and votes, so that the site never counts on a voter that holds nothing.
+ * Plans the next repair step of the replica set; undefined when none is needed. A voter that lost
+ * its disk or was replaced by another machine is removed only after its successor has caught up and
+ * become a voter, so the site never relies on a voter with an empty log.
  *
  * @example
- * const next = planReplicas(situation);
+ * const next = planReplicas(input);
  * if (next) runner.changeReplicas(next);
  */
 export const planReplicas = (input: ReplicaPlanInput): ReplicaSet | undefined => (
--- a/src/core/log/replicatedLog.ts
+++ b/src/core/log/replicatedLog.ts
@@ -59,7 +59,7 @@
 };
 
 /**
- * Runs one event through a replica of the log and returns what is to be done, in order.
+ * Handles one event of a replica and returns the resulting effects in order.
  *
  * @example
  * const effects = handleLogEvent(state, { kind: 'tick' }, clock.now());
@@ -72,8 +72,8 @@
 };
 
 /**
- * Whether this replica leads, has committed in its own term, and no other can lead at this moment:
- * what it reads of its state is then the newest that is accepted.
+ * Whether this replica is the leader, has committed an entry of its own term, and no other replica
+ * can be leader at this time. A read of its state then returns the newest accepted state.
  *
  * @example
  * if (!holdsLeaderLease(state, clock.now())) refuse('noQuorum');
@@ -83,9 +83,9 @@
   && now < state.leaseUntil;
 
 /**
- * Whether a majority has acknowledged a round that was sent while this replica led. As each of them
- * knew of no newer leader when it did, what was committed here by then is the newest that was
- * accepted when the round was sent, whatever the clocks say.
+ * Whether a majority has acknowledged a round that this replica sent as leader. None of these
+ * replicas had contact to a newer leader at that time, so the state committed here is at least as
+ * new as the state accepted when the round was sent, regardless of any clock.
  *
  * @example
  * if (isRoundConfirmed(state, term, round)) answerRead();
--- a/src/core/log/replication.ts
+++ b/src/core/log/replication.ts
@@ -1,8 +1,8 @@
 import type { LogEntry, LogMessage } from '../../protocol/generated/beechlift';
 import { sendSnapshotChunk } from './snapshotSender';
 import {
-  addEffect, becomeFollower, findEntry, findReplicaSet, findTerm, followLeader, hasMajority, isVoter,
-  listPeers, persistState, readLastIndex, REPLICAS_COMMAND_PREFIX, sendMessage,
+  addEffect, becomeFollower, findEntry, findReplicaSet, findTerm, followLeader, hasMajority,
+  isVoter, listPeers, persistState, readLastIndex, REPLICAS_COMMAND_PREFIX, sendMessage,
 } from './logState';
 import type {
   LogState, LogStep, PeerProgress, ReplicaSet,
@@ -13,7 +13,7 @@
 const MAX_ROUNDS_KEPT = 256;
 const MAX_UNACKED_ROUNDS = 4;
 
-/** Command that a new leader commits to learn what is committed. */
+/** Command that a new leader appends to commit the entries of earlier terms. */
 export const NOOP_COMMAND = '';
 
 const makeProgress = (state: LogState): PeerProgress => ({
@@ -39,7 +39,7 @@
 };
 
 /*
- * Guards the network against a peer that is down: it gets empty appends until it acknowledges one.
+ * Limits the traffic to a peer that is down: it receives empty appends until it acknowledges one.
  */
 const isUnresponsive = (state: LogState, progress: PeerProgress): boolean => (
   state.round - progress.ackedRound > MAX_UNACKED_ROUNDS
@@ -61,7 +61,7 @@
     entries,
     round: state.round,
   });
-  // Sent ahead of the acknowledgement; a rejection or the next heartbeat winds it back.
+  // Advanced before the acknowledgement; a rejection or the next heartbeat resets it.
   progress.nextIndex += entries.length;
 };
 
@@ -73,9 +73,9 @@
 };
 
 /*
- * Guards against two leaders that both grant configuration leases. The lease counts from the
- * sending of the newest round that a majority acknowledged; each of those replicas refuses to vote
- * for electionMs after it received that round, which was later than its sending.
+ * Guards against two leaders that both grant configuration leases. The lease starts when the newest
+ * round that a majority acknowledged was sent. Each of those replicas grants no vote for the
+ * election timeout after it received that round, which is later than the send time.
  */
 const renewLeaderLease = ({ state, now }: LogStep): void => {
   const acked = [...state.roundSentAt.keys()].findLast((round) => {
@@ -89,16 +89,16 @@
 };
 
 /*
- * Guards against a leader that was suspended: its monotonic clock stood still meanwhile, so the
- * lease it counts looks valid while another leader may have been elected. Rounds sent before count
- * for nothing; the next one that a majority acknowledges renews the lease.
+ * Guards against a leader that was suspended: its monotonic clock stopped meanwhile, so its lease
+ * looks valid although another leader may have been elected. Rounds sent before the suspension no
+ * longer count; the next round that a majority acknowledges renews the lease.
  */
 export const resetLeaderLease = ({ state }: LogStep): void => {
   state.leaseUntil = 0;
   state.roundSentAt.clear();
 };
 
-/** Sends to every peer what it lacks, as a new round of the lease. */
+/** Sends the missing entries to every peer, as a new round of the lease. */
 export const broadcastAppend = (step: LogStep): void => {
   const { state, now } = step;
   state.round += 1;
@@ -109,7 +109,7 @@
   renewLeaderLease(step);
 };
 
-/** Winds back to what is acknowledged, against appends that were lost, and sends a round. */
+/** Sends a round from the acknowledged index of each peer, in case earlier appends were lost. */
 export const resendAppends = (step: LogStep): void => {
   step.state.peers.forEach((progress) => {
     if (progress.matchIndex > 0) progress.nextIndex = progress.matchIndex + 1;
@@ -126,7 +126,7 @@
   return entry;
 };
 
-/** Takes over as leader of the term, with an empty entry to commit what earlier terms left. */
+/** Becomes leader of the term and appends an empty entry that commits earlier terms' entries. */
 export const startLeading = (step: LogStep): void => {
   const { state } = step;
   state.role = 'leader';
@@ -140,7 +140,7 @@
   broadcastAppend(step);
 };
 
-/** Appends a command; only a leader does. */
+/** Appends a command; does nothing unless this replica is the leader. */
 export const handlePropose = (step: LogStep, command: string): void => {
   if (step.state.role !== 'leader') return;
   const entry = appendEntry(step, command);
@@ -156,8 +156,8 @@
 };
 
 /*
- * Guards against two majorities that do not meet: one voter changes at a time, and none before the
- * last change and an entry of this leader's own term are committed.
+ * Guards against two majorities that do not overlap: only one voter changes at a time, and only
+ * after the previous change and an entry of this leader's own term are committed.
  */
 const canChangeReplicas = (state: LogState, replicas: ReplicaSet): boolean => {
   const pending = state.entries.some(({ index, command }) => (
@@ -166,14 +166,14 @@
   return !pending && ownTerm && countVoterChanges(state.replicas, replicas) <= 1;
 };
 
-/** Changes the replica set by one voter, when none is being changed. */
+/** Changes the replica set by at most one voter, unless another change is pending. */
 export const handleChangeReplicas = (step: LogStep, replicas: ReplicaSet): void => {
   const { state } = step;
   if (state.role !== 'leader' || !canChangeReplicas(state, replicas)) return;
   handlePropose(step, `${REPLICAS_COMMAND_PREFIX}${JSON.stringify(replicas)}`);
 };
 
-/** Hands committed entries to the state machine, in order. */
+/** Applies committed entries to the state machine in order. */
 export const applyCommitted = (step: LogStep): void => {
   const { state } = step;
   const ready = state.entries.slice(
@@ -195,8 +195,9 @@
 };
 
 /*
- * Guards against committing an entry of an older term by count alone, which a later leader could
- * still replace: only an entry of the own term is committed by count, and it commits all before it.
+ * Guards against committing an entry of an older term by counting replicas, because a later leader
+ * could still replace it. Only an entry of the current term is committed by count; all entries
+ * before it are committed with it.
  */
 const advanceCommit = (step: LogStep): void => {
   const { state } = step;
@@ -208,7 +209,7 @@
   if (!isVoter(state, state.id)) becomeFollower(step, state.term, '');
 };
 
-/** Notes that the own disk holds all up to an index. */
+/** Handles a completed disk sync of all entries up to an index. */
 export const handleSynced = (step: LogStep, index: number, term: number): void => {
   const { state } = step;
   if (findTerm(state, index) !== term) return;
@@ -216,7 +217,7 @@
   if (state.role === 'leader') advanceCommit(step);
 };
 
-/** Drops entries from an index on, which a newer leader replaces. */
+/** Removes all entries from an index on, because a newer leader replaces them. */
 const truncateFrom = (state: LogState, index: number): void => {
   state.entries = state.entries.slice(0, index - state.snapshot.index - 1);
   state.syncedIndex = Math.min(state.syncedIndex, index - 1);
@@ -242,7 +243,7 @@
   });
 };
 
-/** Stores entries of the leader; the answer leaves after they are synced. */
+/** Stores entries of the leader; the reply is sent after they are synced. */
 export const handleAppend = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term < state.term) {
@@ -264,7 +265,12 @@
   });
 };
 
-const updateMatchIndex = (step: LogStep, id: string, progress: PeerProgress, matchIndex: number): void => {
+const updateMatchIndex = (
+  step: LogStep,
+  id: string,
+  progress: PeerProgress,
+  matchIndex: number,
+): void => {
   const { state } = step;
   progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
@@ -272,7 +278,7 @@
   if (state.role === 'leader' && progress.nextIndex <= readLastIndex(state)) sendAppend(step, id);
 };
 
-/** Counts an acknowledgement, or winds back after a refusal. */
+/** Handles the reply of a peer: advances its progress, or steps back after a rejection. */
 export const handleAppendReply = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term > state.term) {
--- a/src/core/log/snapshotSender.ts
+++ b/src/core/log/snapshotSender.ts
@@ -1,14 +1,14 @@
 import { sendMessage } from './logState';
 import type { LogStep, PeerProgress, Snapshot } from './logTypes';
 
-/** Bytes of a snapshot in one message. */
+/** Maximum bytes of a snapshot in one message. */
 export const SNAPSHOT_CHUNK_BYTES = 262_144;
 
 const encodeSnapshot = ({ replicas, data }: Snapshot): Buffer => (
   Buffer.from(JSON.stringify({ replicas, data }))
 );
 
-/** Sends the next chunk of the snapshot to a peer that needs entries which are compacted. */
+/** Sends the next chunk of the snapshot to a peer that needs compacted entries. */
 export const sendSnapshotChunk = (step: LogStep, id: string, progress: PeerProgress): void => {
   const { snapshot, round } = step.state;
   if (progress.snapshotOffset < 0) progress.snapshotOffset = 0;
--- a/src/core/log/snapshotTransfer.ts
+++ b/src/core/log/snapshotTransfer.ts
@@ -9,8 +9,9 @@
 } from './logTypes';
 
 const appendChunk = (state: LogState, message: LogMessage): void => {
-  const { incomingSnapshot: incomingSnapshot } = state;
-  const isSameSnapshot = incomingSnapshot?.index === message.lastIndex && incomingSnapshot.term === message.lastTerm;
+  const { incomingSnapshot } = state;
+  const isSameSnapshot = incomingSnapshot?.index === message.lastIndex
+    && incomingSnapshot.term === message.lastTerm;
   if (message.offset === 0 || !isSameSnapshot) {
     state.incomingSnapshot = {
       index: message.lastIndex, term: message.lastTerm, chunks: [], bytes: 0,
@@ -31,7 +32,9 @@
     Buffer.concat(chunks).toString(),
   ) as Pick<Snapshot, 'replicas' | 'data'>;
   const hasMatchingEntry = findTerm(state, message.lastIndex) === message.lastTerm;
-  const tail = hasMatchingEntry ? state.entries.filter(({ index }) => index > message.lastIndex) : [];
+  const tail = hasMatchingEntry
+    ? state.entries.filter(({ index }) => index > message.lastIndex)
+    : [];
   state.snapshot = {
     index: message.lastIndex, term: message.lastTerm, replicas, data,
   };
@@ -49,7 +52,7 @@
   addEffect(step, { kind: 'restore', snapshot: state.snapshot });
 };
 
-/** Receives a chunk; the last one replaces the own log up to the snapshot. */
+/** Receives a chunk of a snapshot; the last chunk replaces the log up to the snapshot's index. */
 export const handleSnapshot = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (message.term < state.term) {
@@ -66,7 +69,7 @@
   });
 };
 
-/** Sends the next chunk, or goes on with entries after the last. */
+/** Sends the next chunk, or continues with log entries after the last chunk. */
 export const handleSnapshotReply = (step: LogStep, message: LogMessage): void => {
   const { state } = step;
   if (state.role !== 'leader' || message.term !== state.term) return;
@@ -79,12 +82,12 @@
     handleAppendReply(step, { ...message, granted: true });
     return;
   }
-  // A chunk of an older snapshot: the transfer starts again with the newest one.
+  // The reply belongs to an older snapshot: the transfer restarts with the newest one.
   progress.snapshotOffset = message.matchIndex === state.snapshot.index ? message.offset : 0;
   sendSnapshotChunk(step, message.from, progress);
 };
 
-/** Replaces applied entries by a snapshot that the state machine gave. */
+/** Replaces applied entries with a snapshot that the state machine provided. */
 export const handleSnapshotTaken = (step: LogStep, index: number, data: string): void => {
   const { state } = step;
   const term = findTerm(state, index);
--- a/src/core/membership/entrySelection.ts
+++ b/src/core/membership/entrySelection.ts
@@ -1,7 +1,7 @@
 import type { Member } from '../../protocol/generated/beechlift';
 import { rankByRendezvous } from '../../utils/rendezvous';
 
-/** Entry VMs of a view that may own pools: those that are not leaving. */
+/** Lists the entry VMs of a view that may own pools: those that are not leaving. */
 export const listActiveMembers = (members: readonly Member[]): Member[] => (
   members.filter(({ state }) => state === 'active')
 );
@@ -21,8 +21,10 @@
 const MAX_ADDRESSES = 4;
 
 /**
- * Ranks the entry VMs for a caller: own availability zone first, spread by client account, leaving
- * ones not at all. Several are named, so that a caller has where to go when the first is gone.
+ * Ranks the entry VMs for a caller: those in the caller's availability zone first, then the others.
+ * The order within each group depends on the client account, which distributes the accounts over
+ * the entries. Leaving entries are excluded. Returns several entries, so that a caller has an
+ * alternative when the first one fails.
  *
  * @example
  * rankEntries(view.members, 'kiosks', 'az-1');
--- a/src/core/membership/memberTable.ts
+++ b/src/core/membership/memberTable.ts
@@ -1,25 +1,26 @@
 import type { Member } from '../../protocol/generated/beechlift';
 
-/** Silence after which an entry counts as failed, in milliseconds. */
+/** Time without a heartbeat after which an entry counts as failed, in milliseconds. */
 export const MEMBER_TIMEOUT_MS = 2_000;
 
-/** What the leader has heard of an entry. */
+/** Last heartbeat of an entry, as received by the leader. */
 export interface MemberHeartbeat {
   readonly member: Member;
+  /** When it was received, monotonic milliseconds. */
   readonly lastSeenAt: number;
   readonly manifestVersion: number;
 }
 
-/** Entries by id, as the leader hears them. Not replicated: a new leader hears them anew. */
+/** Last heartbeats by entry id. Not replicated: a new leader collects them again. */
 export type MemberTable = Map<string, MemberHeartbeat>;
 
 const MAX_MEMBERS = 2_000;
 
 /**
- * Notes a heartbeat.
+ * Records a heartbeat. Heartbeats of further entries are ignored while the table is full.
  *
  * @example
- * noteMember(table, member, 7, clock.now());
+ * recordHeartbeat(table, member, 7, clock.now());
  */
 export const recordHeartbeat = (
   table: MemberTable,
@@ -44,9 +45,9 @@
 ): boolean => now - heartbeat.lastSeenAt > MEMBER_TIMEOUT_MS;
 
 /*
- * Guards against throwing all entries out of the view because a new leader has not heard from them
- * yet: for one silence time after it took over, a member that it has not heard of stays as the old
- * view has it.
+ * Guards against removing all entries from the view because a new leader has not received their
+ * heartbeats yet: for one timeout after it became leader, a member without a heartbeat stays in the
+ * view unchanged.
  */
 const isAwaitingHeartbeat = (
   member: Member,
@@ -56,7 +57,7 @@
 ): boolean => !table.has(member.id) && now - leadingSince <= MEMBER_TIMEOUT_MS;
 
 /**
- * Computes who should be in the view, or undefined when that is how it stands.
+ * Computes the members of the next view; undefined when they are unchanged.
  *
  * @param leadingSince when this replica became leader, monotonic milliseconds
  * @example
@@ -68,7 +69,9 @@
   leadingSince: number,
   now: number,
 ): Member[] | undefined => {
-  const retained = current.filter((member) => isAwaitingHeartbeat(member, table, leadingSince, now));
+  const retained = current.filter(
+    (member) => isAwaitingHeartbeat(member, table, leadingSince, now),
+  );
   const live = [...table.values()]
     .filter((item) => !hasTimedOut(item, now) && item.member.state !== 'gone')
     .map(({ member }) => member);
@@ -81,7 +84,7 @@
   return same ? undefined : next;
 };
 
-/** Forgets entries that have been silent for long. */
+/** Removes entries without a heartbeat for ten timeouts. */
 export const removeStaleMembers = (table: MemberTable, now: number): void => {
   [...table.values()]
     .filter((heartbeat) => now - heartbeat.lastSeenAt > 10 * MEMBER_TIMEOUT_MS)
--- a/src/core/membership/siteState.ts
+++ b/src/core/membership/siteState.ts
@@ -4,19 +4,19 @@
 import type { SectionChange } from '../../manifest/manifestDelta';
 import type { ResultCode } from '../../errors/resultCodes';
 
-/** Who holds claims, as agreed by the log. While `previous` is not empty both sets must agree. */
+/** Claim holders as committed in the log. While `previous` is not empty, both sets must agree. */
 export interface AgreedHolders {
   readonly number: number;
   readonly current: readonly Replica[];
   readonly previous: readonly Replica[];
 }
 
-/** What the log carries. */
+/** Commands of the log that change the state of the site. */
 export type SiteCommand = | { readonly kind: 'manifest'; readonly digest: string; readonly manifest: Manifest }
   | { readonly kind: 'members'; readonly members: readonly Member[] }
   | { readonly kind: 'holders'; readonly current: readonly Replica[]; readonly previous: readonly Replica[] };
 
-/** What came of a submitted manifest. */
+/** Result of submitting a manifest. */
 export interface SubmitResult {
   readonly code: ResultCode | 'accepted';
   readonly version: number;
@@ -24,14 +24,14 @@
   readonly message: string;
 }
 
-/** What changed from one accepted manifest to the next. */
+/** Changes from one accepted manifest to the next. */
 export interface RecentDelta {
   readonly baseVersion: number;
   readonly baseDigest: string;
   readonly changes: readonly SectionChange[];
 }
 
-/** The replicated state of a site: the same on every replica that applied the same commands. */
+/** Replicated state of a site: equal on all replicas that applied the same commands. */
 export interface SiteState {
   manifest: Manifest | undefined;
   digest: string;
@@ -40,14 +40,14 @@
   members: readonly Member[];
   viewNumber: number;
   holders: AgreedHolders;
-  /** Not part of the replicated state: kept to send less. */
+  /** Recent changes, sent in place of the whole manifest. Not part of the replicated state. */
   deltas: RecentDelta[];
 }
 
 const MAX_ACCEPTED = 4_096;
 const MAX_DELTAS = 64;
 
-/** Makes the state of a site that has accepted nothing. */
+/** Creates the state of a site that has accepted no manifest. */
 export const makeSiteState = (): SiteState => ({
   manifest: undefined,
   digest: '',
@@ -60,19 +60,24 @@
 
 const getVersion = (state: SiteState): number => state.manifest?.version ?? 0;
 
-const resolveKnownVersion = (version: number, digest: string, acceptedDigest: string): SubmitResult => (
+const resolveKnownVersion = (
+  version: number,
+  digest: string,
+  acceptedDigest: string,
+): SubmitResult => (
   acceptedDigest === digest
     ? {
-      code: 'accepted', version, digest, message: 'accepted before',
+      code: 'accepted', version, digest, message: 'already accepted',
     }
     : {
-      code: 'versionTaken', version, digest: acceptedDigest, message: `version ${version} is held by digest ${acceptedDigest}`,
+      code: 'versionTaken', version, digest: acceptedDigest, message: `version ${version} was already accepted with digest ${acceptedDigest}`,
     }
 );
 
 /**
- * Decides on a manifest by comparing version and digest with what was accepted, without changing
- * anything. A resend of an accepted one gets the same acceptance, whatever came after it.
+ * Decides whether a manifest is accepted, by comparing its version and digest with the accepted
+ * ones. Changes nothing. Resubmitting an accepted manifest is accepted again, even after newer
+ * manifests.
  *
  * @example
  * const result = decideManifest(state, manifest, digest);
@@ -88,7 +93,7 @@
   const current = getVersion(state);
   if (version <= current) {
     return {
-      code: 'versionTooLow', version: current, digest: state.digest, message: `version ${version} is below ${current}, which is in force`,
+      code: 'versionTooLow', version: current, digest: state.digest, message: `version ${version} is not above version ${current}, which is in force`,
     };
   }
   if (basedOn !== undefined && basedOn !== state.digest) {
@@ -161,7 +166,7 @@
 };
 
 /**
- * Writes the replicated state for a snapshot.
+ * Serializes the replicated state for a snapshot.
  *
  * @example
  * const data = formatSiteState(state);
@@ -171,7 +176,7 @@
 });
 
 /**
- * Reads the replicated state from a snapshot; an empty text is a site that has accepted nothing.
+ * Parses the replicated state of a snapshot; an empty text means that nothing has been accepted.
  *
  * @example
  * const state = parseSiteState(snapshot.data);
@@ -183,8 +188,8 @@
 };
 
 /**
- * Collects the changes from a version that an entry holds to the one in force; undefined when they
- * are no longer kept and the whole manifest must be sent.
+ * Collects the changes from an entry's manifest version to the version in force; undefined when
+ * they are no longer stored and the whole manifest must be sent.
  *
  * @example
  * const changes = collectChanges(state, 7, digest);
