--- a/src/core/schedule/accountUsage.ts
+++ b/src/core/schedule/accountUsage.ts
@@ -2,7 +2,7 @@
 
 const MINUTE_MS = 60_000;
 
-/** What an account uses of the pool. */
+/** Finds the usage of an account in the pool, and creates it when there is none yet. */
 export const findAccountUsage = (tables: ScheduleTables, account: string): AccountUsage => {
   const known = tables.accounts.get(account);
   if (known) return known;
@@ -18,12 +18,14 @@
 
 const refillTokens = (usage: AccountUsage, perMinute: number, now: number): void => {
   const refilled = ((now - usage.refilledAt) / MINUTE_MS) * perMinute;
-  usage.tokensLeft = usage.refilledAt === 0 ? perMinute : Math.min(perMinute, usage.tokensLeft + refilled);
+  usage.tokensLeft = usage.refilledAt === 0
+    ? perMinute
+    : Math.min(perMinute, usage.tokensLeft + refilled);
   usage.refilledAt = now;
 };
 
 /**
- * Tells why an account may not have one more request, or undefined when it may.
+ * Finds the reason why an account may not have one more request; undefined when it may.
  *
  * @example
  * const reason = findLimitReason(tables, 'kiosks', 400, now);
@@ -38,23 +40,23 @@
   const usage = findAccountUsage(tables, account);
   const concurrency = limits?.concurrency ?? 1;
   if (usage.requests >= concurrency) {
-    return `${usage.requests} requests of account "${account}" are in pool "${tables.pool}", its limit is ${concurrency}`;
+    return `${usage.requests} requests of account "${account}" are in pool "${tables.pool}", the limit is ${concurrency}`;
   }
   const perMinute = limits?.tokensPerMinute ?? 0;
   if (perMinute === 0) return undefined;
   refillTokens(usage, perMinute, now);
   if (usage.tokensLeft >= Math.min(cost, perMinute)) return undefined;
-  return `account "${account}" has ${Math.floor(usage.tokensLeft)} tokens left of ${perMinute} a minute, the request needs about ${Math.ceil(cost)}`;
+  return `account "${account}" has ${Math.floor(usage.tokensLeft)} of ${perMinute} tokens per minute left, the request needs about ${Math.ceil(cost)}`;
 };
 
-/** Counts a request of an account in. */
+/** Adds a request to the usage of its account. */
 export const addAccountUsage = (tables: ScheduleTables, account: string, cost: number): void => {
   const usage = findAccountUsage(tables, account);
   usage.requests += 1;
   usage.tokensLeft -= cost;
 };
 
-/** Counts a request of an account out; tokens that it did not use are given back. */
+/** Removes a request from the usage of its account and refunds the tokens that it did not use. */
 export const releaseAccountUsage = (
   tables: ScheduleTables,
   account: string,
@@ -65,13 +67,13 @@
   usage.tokensLeft += unused;
 };
 
-/** Counts service against the fair share of an account. */
+/** Charges served tokens to the fair share of an account. */
 export const chargeAccount = (tables: ScheduleTables, account: string, tokens: number): void => {
   const weight = tables.config.accounts[account]?.weight ?? 1;
   findAccountUsage(tables, account).virtualTokens += tokens / weight;
 };
 
-/** Forgets accounts that the manifest no longer names and that use nothing. */
+/** Removes accounts that have no requests and are no longer in the manifest. */
 export const removeUnusedAccounts = (tables: ScheduleTables): void => {
   [...tables.accounts]
     .filter(([name, usage]) => usage.requests === 0 && !tables.config.accounts[name])
--- a/src/core/schedule/announcements.ts
+++ b/src/core/schedule/announcements.ts
@@ -41,7 +41,7 @@
   if (known || tables.workers.size >= tables.config.limits.workersPerPool) return known;
   const worker = makeWorkerEntity(announcement);
   tables.workers.set(worker.id, worker);
-  // An owner that took over may have heard of requests there before it heard of the worker.
+  // After a takeover, requests may be registered before their worker is announced.
   tables.running.forEach(({ workerId, requestId }) => {
     if (workerId === worker.id) worker.running.add(requestId);
   });
@@ -49,18 +49,18 @@
 };
 
 /**
- * Dispatch and reading are milliseconds apart; a request this near to a reading may or may not be
- * in it.
+ * Tolerance for comparing request times with the time of a load reading. A request that was granted
+ * or ended within this time of a reading may or may not be included in it.
  */
 const LOAD_READING_TOLERANCE_MS = 250;
 
-/** How long an ended request may still stand in a reported load. */
+/** How long an ended request may still be included in a reported load. */
 const ENDED_RETENTION_MS = 10_000;
 
 /*
- * Guards against taking our own requests for somebody else's load, which is reported with a lag:
- * what held a slot here at the time of the reading, ended since or not, is ours. Only what is
- * beyond that is foreign.
+ * Counts the requests on a worker that other systems sent. The load is reported with a delay, so
+ * all own requests that held a slot at the time of the reading are subtracted, also those that have
+ * ended since. Otherwise own requests would be counted as external load.
  */
 const countExternalRequests = (
   { tables, now }: ScheduleStep,
@@ -77,15 +77,15 @@
 };
 
 /**
- * Longest way of an announcement, in milliseconds: kept by an entry for a new owner for three
- * seconds, and forwarded in less than one.
+ * Longest delay of an announcement, in milliseconds: an entry stores it for a new owner for three
+ * seconds and forwards it in less than one.
  */
 export const MAX_ANNOUNCEMENT_DELAY_MS = 5_000;
 
 /*
- * Guards against an announcement that was overtaken: a backend server tells its entries in turn,
- * and a "ready" from before it said that it leaves can come to the owner later. Within the longest
- * way of an announcement only a new start of the server takes "leaving" back.
+ * Guards against reordered announcements: a backend server sends its announcements to the entries
+ * in turn, so an older "ready" can reach the owner after "leaving". Within the longest delay of an
+ * announcement, only a restart of the server cancels "leaving".
  */
 const isLeaving = (
   { now }: ScheduleStep,
@@ -96,14 +96,14 @@
   return now - worker.lastLeavingAt < MAX_ANNOUNCEMENT_DELAY_MS;
 };
 
-/** A new start of a worker has nothing to do with what the one before said or was ordered. */
+/** Discards the state that belongs to the earlier incarnation of a worker. */
 const resetAfterRestart = (step: ScheduleStep, worker: WorkerEntity): void => {
   worker.lastLeavingAt = -Infinity;
   worker.orderedDigest = '';
   handleRestart(step, worker);
 };
 
-/** Takes in what a backend server says of itself. */
+/** Updates the tables from an announcement of a backend server. */
 export const handleAnnouncement = (step: ScheduleStep, announcement: Announcement): void => {
   const { tables, now } = step;
   const worker = addWorker(tables, announcement);
--- a/src/core/schedule/chooseWorker.ts
+++ b/src/core/schedule/chooseWorker.ts
@@ -5,7 +5,7 @@
   PolicyName, ScheduleTables, WaitingEntity, WorkerEntity,
 } from './scheduleTypes';
 
-/** A worker for a request, and what is expected of it. */
+/** A worker for a request, and the prompt tokens that it must process. */
 export interface Choice {
   readonly worker: WorkerEntity;
   /** Prompt tokens that are probably not in the worker's cache. */
@@ -16,7 +16,7 @@
 
 type Chooser = (tables: ScheduleTables, waiting: WaitingEntity) => Choice | undefined;
 
-/** Prompt tokens behind each prefix hash, in the order in which entries send them. */
+/** Prompt tokens covered by each prefix hash, in the order in which entries send the hashes. */
 export const PREFIX_TOKENS: readonly number[] = [64, 256, 1_024, 4_096];
 
 const findCachedTokens = (worker: WorkerEntity, prefixes: readonly string[]): number => {
@@ -35,7 +35,7 @@
 };
 
 const scoreChoice = (tables: ScheduleTables, waiting: WaitingEntity, choice: Choice): number => {
-  const { worker, uncachedTokens: uncachedTokens } = choice;
+  const { worker, uncachedTokens } = choice;
   tables.comparisons += 1;
   const batch = worker.running.size + 1;
   const hardware = tables.policy.speeds ? worker.hardware : '';
@@ -61,8 +61,8 @@
 ): boolean => worker.targets.includes(target);
 
 /**
- * The worker that is expected to finish the request first, among kinds of free workers and prefix
- * holders.
+ * Chooses the worker that is expected to finish the request first, among one free worker of each
+ * bucket and the free workers that have a prefix of the prompt in their cache.
  */
 const chooseExpectedFastest: Chooser = (tables, waiting) => {
   const { target } = waiting.ask;
@@ -112,7 +112,7 @@
   waiting: WaitingEntity,
 ): Choice | undefined => choosers[tables.policy.name](tables, waiting);
 
-/** Expected time to the first token on a choice, in milliseconds. */
+/** Estimates the time to the first token on the chosen worker, in milliseconds. */
 export const estimateChoiceFirstTokenMs = (tables: ScheduleTables, choice: Choice): number => (
   estimateFirstTokenMs(tables.speeds, choice.worker.hardware, choice.uncachedTokens)
 );
--- a/src/core/schedule/fairQueue.ts
+++ b/src/core/schedule/fairQueue.ts
@@ -17,8 +17,8 @@
 );
 
 /*
- * Guards against an account that was idle and then claims all the service it did not use: it joins
- * at the level of the account that has had the least among those that wait.
+ * Guards against an account that was idle and would then receive all the service that it did not
+ * use: its virtual tokens are raised to the least of the accounts that have waiting requests.
  */
 const raiseVirtualTokens = (
   tables: ScheduleTables,
@@ -30,7 +30,7 @@
   if (least !== Infinity) usage.virtualTokens = Math.max(usage.virtualTokens, least);
 };
 
-/** Puts a request at the end of its account's queue. */
+/** Appends a request to the queue of its account. */
 export const addWaiting = (tables: ScheduleTables, waiting: WaitingEntity): void => {
   const { account, requestId } = waiting.ask;
   const queues = findQueues(tables, waiting.rank);
@@ -44,7 +44,7 @@
   queues.set(account, [requestId]);
 };
 
-/** Takes a request out of its queue, wherever it stands. */
+/** Removes a request from its queue, at any position. */
 export const removeWaiting = (
   tables: ScheduleTables,
   requestId: string,
@@ -61,10 +61,10 @@
 };
 
 /**
- * Lists the first waiting request of every account of a rank, least served account first.
+ * Lists the first waiting request of each account in a rank, least served account first.
  *
  * @example
- * const [next] = listHeads(tables, 0);
+ * const [next] = listQueueHeads(tables, 0);
  */
 export const listQueueHeads = (tables: ScheduleTables, rank: number): WaitingEntity[] => (
   [...(tables.queues.get(rank) ?? [])]
@@ -76,7 +76,7 @@
     .flatMap(({ waiting }) => waiting ?? [])
 );
 
-/** Ranks that have requests waiting, highest tier first. */
+/** Lists the ranks that have waiting requests, highest tier first. */
 export const listWaitingRanks = (tables: ScheduleTables): number[] => (
   [...tables.queues]
     .filter(([, queues]) => queues.size > 0)
@@ -89,12 +89,12 @@
 );
 
 /**
- * Counts the requests of a rank that are served before the next one of an account: of each account
- * as many as wait from this one. What a large account has queued beyond that does not delay a
- * small one.
+ * Counts the requests of a rank that are served before the next request of an account. Each account
+ * contributes at most one request more than this account has waiting, because further requests of a
+ * large account do not delay a small one.
  *
  * @example
- * countInRank(tables, 1, 'kiosks');
+ * countAheadInRank(tables, 1, 'kiosks');
  */
 export const countAheadInRank = (tables: ScheduleTables, rank: number, account: string): number => {
   const queues = tables.queues.get(rank);
@@ -103,8 +103,8 @@
 };
 
 /**
- * Counts the requests that are served before the next one of an account, all of higher tiers
- * included.
+ * Counts the requests that are served before the next request of an account, including all requests
+ * of higher tiers.
  *
  * @example
  * countAhead(tables, 1, 'kiosks');
--- a/src/core/schedule/grantRate.ts
+++ b/src/core/schedule/grantRate.ts
@@ -1,6 +1,6 @@
 import type { ScheduleTables } from './scheduleTypes';
 
-/** Time over which a rate forgets, in seconds. */
+/** Time constant of the exponential decay of a rate, in seconds. */
 const WINDOW_SECONDS = 2;
 const MS_PER_SECOND = 1_000;
 
@@ -10,7 +10,7 @@
   return rate.perSecond * Math.exp((rate.updatedAt - now) / (WINDOW_SECONDS * MS_PER_SECOND));
 };
 
-/** Counts one grant of a rank. */
+/** Adds one grant to the rate of a rank. */
 export const recordGrant = (tables: ScheduleTables, rank: number, now: number): void => {
   const perSecond = readRate(tables, rank, now) + 1 / WINDOW_SECONDS;
   tables.grantRates.set(rank, { perSecond, updatedAt: now });
@@ -23,13 +23,18 @@
 };
 
 /**
- * Computes how long a rank needs for one grant, from how fast it was served of late. A rank that
- * was not served lately is judged by how long its first request has waited already.
+ * Estimates the time between two grants of a rank from its recent grant rate. The estimate is
+ * limited by the longest wait of a queue head plus the mean service time, for ranks without recent
+ * grants.
  *
  * @example
- * const waitMs = (ahead + 1) * computeGrantMs(tables, 2, now);
+ * const waitMs = (ahead + 1) * estimateGrantIntervalMs(tables, 2, now);
  */
-export const estimateGrantIntervalMs = (tables: ScheduleTables, rank: number, now: number): number => {
+export const estimateGrantIntervalMs = (
+  tables: ScheduleTables,
+  rank: number,
+  now: number,
+): number => {
   const measured = MS_PER_SECOND / Math.max(1e-9, readRate(tables, rank, now));
   const waited = findHeadWaitMs(tables, rank, now) + tables.meanServiceMs;
   return Math.min(measured, waited);
--- a/src/core/schedule/grantSystem.ts
+++ b/src/core/schedule/grantSystem.ts
@@ -6,7 +6,7 @@
 import type { Choice } from './chooseWorker';
 import type { ScheduleStep, ScheduleTables, WaitingEntity } from './scheduleTypes';
 
-/** Milliseconds within which an entry must begin to dispatch what it was granted. */
+/** Time within which an entry must start to dispatch a granted request, in milliseconds. */
 export const GRANT_TIMEOUT_MS = 2_000;
 
 const sumHeadroom = (
@@ -17,13 +17,16 @@
   .reduce((sum, tier) => {
     const maxHeadroom = Math.floor(tier.headroom * tables.index.slots);
     const running = tables.runningByRank.get(tier.rank) ?? 0;
-    // Learnt need: as many as ran at once of late and one more, within the manifest's bound.
-    const required = Math.min(maxHeadroom, Math.ceil(tables.peakConcurrency.get(tier.rank) ?? 0) + 1);
+    // The recent peak of concurrent requests plus one, limited by the headroom in the manifest.
+    const required = Math.min(
+      maxHeadroom,
+      Math.ceil(tables.peakConcurrency.get(tier.rank) ?? 0) + 1,
+    );
     return sum + Math.max(0, required - running);
   }, 0);
 
 /**
- * Computes how many slots a rank must leave free for higher tiers.
+ * Computes the number of slots that a rank must leave free for higher tiers.
  *
  * @example
  * computeHeadroom(tables, 2);
@@ -35,7 +38,7 @@
 const hasFreeCapacity = (tables: ScheduleTables, rank: number): boolean => {
   if (tables.policy.name !== 'owner') return true;
   const free = tables.index.slots - tables.index.used;
-  // One slot stays usable for every tier where nothing else runs: headroom never starves a pool.
+  // Headroom never blocks a whole pool: while nothing is running, every tier may use one slot.
   return free > Math.min(computeHeadroom(tables, rank), Math.max(0, tables.index.slots - 1));
 };
 
@@ -79,12 +82,14 @@
   if (!hasFreeCapacity(tables, rank)) return false;
   const unavailableTargets = new Set<string>();
   return listQueueHeads(tables, rank).some((waiting) => {
-    // The free workers are the same for all requests of a target that missed none: one of them
-    // that found none speaks for all.
+    // All requests of a target that have not failed at any worker have the same candidates. If no
+    // worker was found for one of them, the others are skipped.
     if (unavailableTargets.has(waiting.ask.target)) return false;
     const choice = chooseWorker(tables, waiting);
     if (choice) grant(step, waiting, choice);
-    else if (!tables.failedWorkersByRequest.has(waiting.ask.requestId)) unavailableTargets.add(waiting.ask.target);
+    else if (
+      !tables.failedWorkersByRequest.has(waiting.ask.requestId)
+    ) unavailableTargets.add(waiting.ask.target);
     return choice !== undefined;
   });
 };
@@ -95,7 +100,7 @@
 };
 
 /**
- * Grants free slots, highest tier first, and within a tier to the account that was served least.
+ * Grants free slots, highest tier first; within a tier, to the least served account first.
  *
  * @example
  * runGrantSystem(step);
--- a/src/core/schedule/lengthModel.ts
+++ b/src/core/schedule/lengthModel.ts
@@ -1,15 +1,15 @@
 import { LRUCache } from 'lru-cache';
 
-/** Output lengths by target, tier and account; the keys used longest ago are forgotten. */
+/** Output lengths by target, tier and account. The least recently used keys are evicted. */
 export type LengthModel = LRUCache<string, number>;
 
 const MAX_KEYS = 20_000;
 const DEFAULT_OUTPUT_TOKENS = 64;
-/** The quantile that is tracked: most answers are shorter than the estimate. */
+/** Tracked quantile: most answers are shorter than the estimate. */
 const QUANTILE = 0.7;
 const STEP = 0.1;
 
-/** Whose outputs are alike. */
+/** Requests with the same key are expected to have similar output lengths. */
 export interface LengthKey {
   readonly target: string;
   readonly tier: string;
@@ -18,11 +18,11 @@
 
 const formatKey = ({ target, tier, account }: LengthKey): string => `${target}\n${tier}\n${account}`;
 
-/** Makes an empty model. */
+/** Creates an empty model. */
 export const makeLengthModel = (): LengthModel => new LRUCache({ max: MAX_KEYS });
 
 /**
- * Estimates the output of a request in tokens, at most what the caller allows.
+ * Estimates the output of a request in tokens, at most `maxTokens` unless that is 0.
  *
  * @example
  * estimateOutputTokens(lengths, { target: 'm', tier: 'door', account: 'a' }, 256);
@@ -37,12 +37,17 @@
 };
 
 /**
- * Moves the tracked quantile towards an observed length: up by a larger step than down.
+ * Moves the estimate towards an observed length. The step up is larger than the step down, so that
+ * the estimate converges to the tracked quantile.
  *
  * @example
- * learnOutputTokens(lengths, key, 131);
+ * updateOutputEstimate(lengths, key, 131);
  */
-export const learnOutputTokens = (lengths: LengthModel, key: LengthKey, tokens: number): void => {
+export const updateOutputEstimate = (
+  lengths: LengthModel,
+  key: LengthKey,
+  tokens: number,
+): void => {
   const name = formatKey(key);
   const old = lengths.get(name);
   if (old === undefined) {
--- a/src/core/schedule/orderState.ts
+++ b/src/core/schedule/orderState.ts
@@ -3,7 +3,7 @@
   DesiredModel, DesiredState, OrderState, ScheduleConfig, ScheduleTables,
 } from './scheduleTypes';
 
-/** Longest time from the decision to send an order until it can no longer arrive, milliseconds. */
+/** Longest time between the decision to send an order and its arrival, in milliseconds. */
 export const MAX_ORDER_DELAY_MS = 2_000;
 
 const MINUTE_MS = 60_000;
@@ -16,12 +16,16 @@
 });
 
 /**
- * Builds what the workers of a pool are to carry; none for services, which take no orders.
+ * Builds the state that the workers of a pool should load; undefined for pools of services, which
+ * accept no orders.
  *
  * @example
- * const desired = buildDesired('fast', manifest);
+ * const desired = buildDesiredState('fast', manifest);
  */
-export const buildDesiredState = (name: string, config: ScheduleConfig): DesiredState | undefined => {
+export const buildDesiredState = (
+  name: string,
+  config: ScheduleConfig,
+): DesiredState | undefined => {
   const pool = config.pools[name];
   if (!pool || pool.kind !== 'model') return undefined;
   const models = [...pool.models].sort().map((model) => buildDesiredModel(config, model));
@@ -31,8 +35,9 @@
 };
 
 /**
- * Time between two loads of one pool. The weight store's limit holds for all pools together; each
- * has an equal share, so that owners keep it without asking one another.
+ * Computes the time between two model loads of one pool, in milliseconds. The limit of the weight
+ * store applies to all pools together. Each pool has an equal share, so that the owners need not
+ * coordinate.
  */
 export const computeLoadIntervalMs = ({ config }: Pick<ScheduleTables, 'config'>): number => {
   const pools = Object.values(config.pools).filter(({ kind }) => kind === 'model').length;
@@ -40,10 +45,11 @@
 };
 
 /*
- * Guards against two owners that order one server at a time: engines that check the fencing number
- * refuse the older one; for those that do not, a new owner waits until the lease of the one before
- * has ended and what that one sent can no longer arrive. The load that it may have started counts
- * against the weight store, so the first one here waits a whole turn.
+ * Creates the order state of a new owner and guards against two owners that send orders to one
+ * server at the same time. Engines that check the fencing number reject the older owner. For other
+ * engines, the new owner waits until the lease of the earlier owner has ended and its orders can no
+ * longer arrive. The earlier owner may have started a load, which counts against the limit of the
+ * weight store, so the new owner also waits one load interval.
  */
 export const makeOrderState = (
   pool: string,
@@ -59,7 +65,7 @@
   };
 };
 
-/** Brings what is desired up to the manifest in force. */
+/** Updates the desired state to the manifest in force. */
 export const updateDesiredState = ({ orders, pool, config }: ScheduleTables): void => {
   orders.desired = buildDesiredState(pool, config);
 };
--- a/src/core/schedule/orderSystem.ts
+++ b/src/core/schedule/orderSystem.ts
@@ -4,11 +4,11 @@
   DesiredState, OrderResult, ScheduleStep, ScheduleTables, WorkerEntity, OrderPhase,
 } from './scheduleTypes';
 
-/** An order that was not carried out is sent again, milliseconds. */
+/** Time after which an order that was not carried out is sent again, in milliseconds. */
 const ORDER_RETRY_MS = 5_000;
-/** A worker that does not get idle goes back to work, milliseconds. */
+/** Time after which a draining worker that is still busy is put back into service, in ms. */
 const DRAIN_TIMEOUT_MS = 120_000;
-/** Share of a pool that may be out of work for orders at once; one worker at least. */
+/** Maximum share of a pool that is out of service for orders at once; at least one worker. */
 const MAX_CHANGING_SHARE = 0.1;
 
 const setOrderPhase = (step: ScheduleStep, worker: WorkerEntity, phase: OrderPhase): void => {
@@ -22,8 +22,8 @@
 );
 
 /*
- * Guards against a model in use that nobody carries: a worker is taken out of work only while
- * another ready one carries each of the models that it serves and that are still wanted.
+ * Guards against a model that no worker serves: a worker is taken out of service only if each of
+ * its models that is still desired is also served by another ready worker.
  */
 const isLastReady = (
   { workers }: ScheduleTables,
@@ -58,11 +58,13 @@
 
 type OrderPhaseHandler = (step: ScheduleStep, worker: WorkerEntity, desired: DesiredState) => void;
 
-const isIdle = (worker: WorkerEntity): boolean => worker.running.size === 0 && worker.externalRequests === 0;
+const isIdle = (worker: WorkerEntity): boolean => worker.running.size === 0
+  && worker.externalRequests === 0;
 
 /**
- * Waits for the answers that run there, ours and others', so that an order cuts none of them. One
- * that the others' failures made the last of its models goes back to work.
+ * Sends the order once no request runs on the worker, own or external, so that the order interrupts
+ * none. Puts the worker back into service if it has become the last ready worker of one of its
+ * models, or if it is still busy after the drain timeout.
  */
 const orderWhenIdle: OrderPhaseHandler = (step, worker, desired) => {
   const isNeeded = isLastReady(step.tables, worker, desired);
@@ -71,10 +73,12 @@
   else if (isIdle(worker) && tryReserveLoad(step)) startLoad(step, worker, desired);
 };
 
-/** An order that was lost is repeated; it tells the whole state, so that it may arrive twice. */
+/** Sends a lost order again. An order contains the whole state, so it may arrive twice. */
 const retryOrder: OrderPhaseHandler = (step, worker, desired) => {
   if (step.now - worker.orderedAt < ORDER_RETRY_MS) return;
-  if (worker.orderedDigest === desired.digest || tryReserveLoad(step)) sendOrder(step, worker, desired);
+  if (
+    worker.orderedDigest === desired.digest || tryReserveLoad(step)
+  ) sendOrder(step, worker, desired);
 };
 
 const orderPhaseHandlers: Readonly<Record<OrderPhase, OrderPhaseHandler>> = {
@@ -97,18 +101,20 @@
   const { tables, now } = step;
   if (now < tables.orders.nextLoadAt) return;
   const workers = [...tables.workers.values()];
-  const changing = workers.filter(({ orderPhase: orderPhase }) => orderPhase !== 'serving').length;
+  const changing = workers.filter(({ orderPhase }) => orderPhase !== 'serving').length;
   if (changing >= Math.max(1, Math.floor(workers.length * MAX_CHANGING_SHARE))) return;
   const next = workers
-    .filter((worker) => worker.acceptsOrders && isReady(worker) && worker.reportedDigest !== desired.digest)
+    .filter((worker) => worker.acceptsOrders
+      && isReady(worker)
+      && worker.reportedDigest !== desired.digest)
     .sort((a, b) => a.orderPhaseAt - b.orderPhaseAt)
     .find((worker) => !isLastReady(tables, worker, desired));
   if (next) setOrderPhase(step, next, 'draining');
 };
 
 /**
- * Rolls what the manifest wants through the pool: takes workers out of work one after the other,
- * waits until they are idle, orders, and puts each back once it says that it carries the state.
+ * Rolls the desired state out to the pool: drains workers, at most a small share at a time, sends
+ * the order once they are idle, and puts each back into service when it reports the desired state.
  *
  * @example
  * runOrderSystem(step);
@@ -122,14 +128,14 @@
 };
 
 /*
- * Guards against an owner that lost its pool and does not know it yet: a server that has seen a
- * higher fencing number says so, and nothing more is ordered until a new view names this owner.
+ * Guards against an owner that lost its pool without noticing: a server that has seen a higher
+ * fencing number reports it, and no more orders are sent until a new view confirms this owner.
  */
 export const handleOrderAnswer = ({ tables }: ScheduleStep, result: OrderResult): void => {
   if (result === 'outbid') tables.orders.allowedAt = Infinity;
 };
 
-/** A new view that still names this owner lets it order again. */
+/** Allows orders again after a new view that still names this owner. */
 export const handleNewView = ({ tables, now }: ScheduleStep): void => {
   if (tables.orders.allowedAt === Infinity) tables.orders.allowedAt = now + MAX_ORDER_DELAY_MS;
 };
--- a/src/core/schedule/poolSchedule.ts
+++ b/src/core/schedule/poolSchedule.ts
@@ -7,14 +7,14 @@
 import { handleAnnouncement } from './announcements';
 import { addWaiting, removeWaiting } from './fairQueue';
 import { runGrantSystem } from './grantSystem';
-import { estimateOutputTokens, learnOutputTokens } from './lengthModel';
+import { estimateOutputTokens, updateOutputEstimate } from './lengthModel';
 import { updateDesiredState } from './orderState';
 import { handleOrderAnswer, handleNewView, runOrderSystem } from './orderSystem';
 import { addRunning, findRank, removeRunning } from './scheduleTables';
-import { estimateTotalMs, learnSpeed } from './speedModel';
+import { estimateTotalMs, updateSpeed } from './speedModel';
 import { computeRetryAfterMs, isDeadlineUnreachable, runShedSystem } from './shedSystem';
 import {
-  learnSlowness, runExpirySystem, runPeakDecaySystem, runStragglerSystem,
+  updateSlowness, runExpirySystem, runPeakDecaySystem, runStragglerSystem,
 } from './workerSystems';
 import { handleReached, handleUnreachable, runReachSystem } from './workerReach';
 import type {
@@ -55,13 +55,17 @@
   });
 };
 
-/** @param unused tokens that were charged to the account and are given back */
-const releaseRunning = ({ tables, now }: ScheduleStep, running: RunningEntity, unused = 0): void => {
+/** @param unused tokens that were charged to the account and are refunded */
+const releaseRunning = (
+  { tables, now }: ScheduleStep,
+  running: RunningEntity,
+  unused = 0,
+): void => {
   removeRunning(tables, running.requestId, now);
   releaseAccountUsage(tables, running.account, unused);
 };
 
-/** Number of the newest question for a request; undefined for one that is not known here. */
+/** Finds the number of the newest slot request; undefined when the request id is unknown. */
 const findAskNumber = (
   { waiting, running }: ScheduleTables,
   requestId: string,
@@ -70,10 +74,10 @@
 );
 
 /*
- * Guards a request whose grant was lost with the connection that carried it: its entry asks again,
- * and the slot that it never heard of would stay taken while the request is never answered. An
- * entry asks only for what holds no slot there, so that slot is free. One that still waits keeps
- * its place.
+ * Guards against a grant that was lost with its connection: the entry requests a slot again, while
+ * the earlier slot would stay occupied and the request would never be answered. An entry requests a
+ * slot only for requests that hold none, so the earlier slot is released. A request that is still
+ * waiting keeps its position in the queue.
  */
 const releaseLostGrant = (step: ScheduleStep, { requestId }: AskRequest): void => {
   const running = step.tables.running.get(requestId);
@@ -97,14 +101,14 @@
     return;
   }
   if (isDeadlineUnreachable(tables, waiting, now)) {
-    refuseRequest(step, waiting, 'noSlotInTime', `the backlog of pool "${tables.pool}" leaves no slot before the deadline of tier "${ask.tier}"`);
+    refuseRequest(step, waiting, 'noSlotInTime', `pool "${tables.pool}" is not expected to have a free slot before the deadline of tier "${ask.tier}"`);
     return;
   }
   addAccountUsage(tables, ask.account, waiting.cost);
   addWaiting(tables, waiting);
 };
 
-const learnFromReport = (
+const updateEstimates = (
   step: ScheduleStep,
   running: RunningEntity,
   report: ReportRequest,
@@ -112,7 +116,7 @@
   const { tables, now } = step;
   const worker = tables.workers.get(running.workerId);
   if (!worker || report.outcome !== 'complete') return;
-  learnOutputTokens(tables.lengths, running, report.outputTokens);
+  updateOutputEstimate(tables.lengths, running, report.outputTokens);
   const expected = estimateTotalMs(
     tables.speeds,
     worker.hardware,
@@ -120,9 +124,9 @@
     running.promptTokens,
     report.outputTokens,
   );
-  learnSlowness(tables, worker, report.totalMs / Math.max(1, expected));
+  updateSlowness(tables, worker, report.totalMs / Math.max(1, expected));
   if (worker.pace === 'steady') {
-    learnSpeed(tables.speeds, {
+    updateSpeed(tables.speeds, {
       hardware: worker.hardware,
       batch: running.batch,
       promptTokens: running.promptTokens,
@@ -135,8 +139,8 @@
 };
 
 /*
- * Tables that are looked up with a word from the wire are maps: a word such as `__proto__` finds
- * nothing in them.
+ * Tables that are indexed with a value from the wire are maps, in which a key such as `__proto__`
+ * has no value.
  */
 const reachHandlers: ReadonlyMap<string, typeof handleReached> = new Map([
   ['unreachable', handleUnreachable],
@@ -156,7 +160,7 @@
     running.account,
     report.phase === 'dropped' ? running.cost : running.cost - used,
   );
-  learnFromReport(step, running, report);
+  updateEstimates(step, running, report);
   reachHandlers.get(report.outcome)?.(step, running);
 };
 
@@ -176,8 +180,8 @@
 ]);
 
 /*
- * Guards a newer question against a report of the one before, which came later on another
- * connection: it would end a slot that was granted since.
+ * Ignores a report about an earlier slot request with the same id. It can arrive late on another
+ * connection and would release the slot of the newer slot request.
  */
 const handleReport = (step: ScheduleStep, report: ReportRequest): void => {
   const knownAskNumber = findAskNumber(step.tables, report.requestId);
@@ -209,9 +213,9 @@
 };
 
 /*
- * Guards against slots that stay taken for good because the report of an end was lost: an entry
- * tells all that it runs every few seconds, and what it no longer names is over. A grant that is
- * younger than its way there and back is left alone.
+ * Guards against slots that stay occupied forever because the report of a finished request was
+ * lost. Every few seconds, an entry registers all requests that it runs; requests that it no longer
+ * lists have ended. Recent grants are kept, because the entry may not have received them yet.
  */
 const releaseUnreported = (step: ScheduleStep, register: RegisterRequest): void => {
   const reported = new Set(register.running.map(({ requestId }) => requestId));
@@ -232,7 +236,7 @@
   releaseAccountUsage(tables, waiting.ask.account, waiting.cost);
 };
 
-/** Requests of an entry that is gone hold no slot, and no entry that is gone is waited for. */
+/** Releases the slots and the waiting requests of entries that are no longer in the view. */
 const handleMembersChanged = (step: ScheduleStep, entryIds: readonly string[]): void => {
   const { tables } = step;
   const entries = new Set(entryIds);
@@ -276,7 +280,7 @@
 };
 
 /**
- * Runs one event through the owner of a pool, then grants what can be granted.
+ * Handles one event of a pool and then grants the free slots.
  *
  * @example
  * const effects = handleScheduleEvent(tables, { kind: 'ask', ask }, clock.now());
--- a/src/core/schedule/scheduleTables.ts
+++ b/src/core/schedule/scheduleTables.ts
@@ -5,7 +5,7 @@
   PolicySettings, RunningEntity, ScheduleConfig, ScheduleTables, WorkerEntity,
 } from './scheduleTypes';
 
-/** Everything switched on. */
+/** Default policy, with all mechanisms enabled. */
 export const DEFAULT_POLICY: PolicySettings = {
   name: 'owner', affinity: true, headroom: true, stragglers: true, speeds: true,
 };
@@ -13,13 +13,13 @@
 const DEFAULT_SERVICE_MS = 1_000;
 const MAX_WORKER_PREFIXES = 4_096;
 
-/** Rank of a tier that the manifest does not name: after all others. */
+/** Rank of a tier that is not in the manifest: after all others. */
 export const UNKNOWN_TIER_RANK = 99;
 
 /**
- * Makes the tables of a pool for an owner that has just taken over.
+ * Creates the tables of a pool for an owner that has just taken over.
  *
- * @param unregistered entries that may hold requests which an earlier owner granted
+ * @param unregistered entries that may run requests which an earlier owner granted
  * @param settledAt when grants of an earlier owner can no longer start, monotonic milliseconds
  * @example
  * const tables = makeScheduleTables('fast', config, ['e1', 'e2'], now + 5_000);
@@ -56,7 +56,7 @@
   comparisons: 0,
 });
 
-/** Rank of a tier; 0 is served first. */
+/** Finds the rank of a tier; 0 is served first. */
 export const findRank = (tables: ScheduleTables, tier: string): number => (
   tables.config.tiers[tier]?.rank ?? UNKNOWN_TIER_RANK
 );
@@ -67,7 +67,7 @@
   if (count > (tables.peakConcurrency.get(rank) ?? 0)) tables.peakConcurrency.set(rank, count);
 };
 
-/** Counts a request as holding a slot. */
+/** Adds a request that holds a slot. */
 export const addRunning = (tables: ScheduleTables, running: RunningEntity): void => {
   tables.running.set(running.requestId, running);
   updateRankCount(tables, running.rank, 1);
@@ -77,7 +77,7 @@
   updateIndex(tables.index, worker);
 };
 
-/** Frees the slot of a request. */
+/** Removes a running request and releases its slot. */
 export const removeRunning = (
   tables: ScheduleTables,
   requestId: string,
@@ -96,7 +96,7 @@
   return running;
 };
 
-/** Forgets that a worker holds a prefix. */
+/** Removes a prefix from the cached prefixes of a worker. */
 export const removePrefix = (
   tables: ScheduleTables,
   worker: WorkerEntity,
@@ -108,7 +108,7 @@
   if (holders?.size === 0) tables.prefixWorkers.delete(prefix);
 };
 
-/** Notes that a worker will hold these prefixes; the ones used longest ago are forgotten. */
+/** Records the prefixes that a worker will have in its cache; evicts the least recently used. */
 export const recordPrefixes = (
   tables: ScheduleTables,
   worker: WorkerEntity,
--- a/src/core/schedule/scheduleTypes.ts
+++ b/src/core/schedule/scheduleTypes.ts
@@ -8,48 +8,54 @@
 import type { LengthModel } from './lengthModel';
 import type { SpeedTable } from './speedModel';
 
-/** Whether a worker takes its full load, or only probes after it proved slow. */
+/** Load of a worker: `steady` for full load, `eased` for only a probe because it is slow. */
 export type WorkerPace = 'steady' | 'eased';
 
-/** Whether requests arrive at a worker: it takes all, none for a pause, or one as a probe. */
+/**
+ * Reachability of a worker: `reached` workers receive requests up to their slots, `suspended`
+ * workers none during a pause, `probed` workers one request as a probe.
+ */
 export type WorkerReach = 'reached' | 'suspended' | 'probed';
 
-/** Where a worker stands while an order changes it: it takes work only when it serves. */
+/** Phase of an order to a worker. Only `serving` workers receive requests. */
 export type OrderPhase = 'serving' | 'draining' | 'loading';
 
-/** A model as a worker is to carry it. */
+/** A model that a worker should load. */
 export interface DesiredModel {
   readonly name: string;
   readonly modelVersion: string;
   readonly adapters: readonly string[];
 }
 
-/** All that a worker of a pool is to carry; an order always tells the whole of it. */
+/** Complete state that a worker of a pool should load. Every order contains all of it. */
 export interface DesiredState {
   readonly role: Pool['role'];
   readonly models: readonly DesiredModel[];
   readonly digest: string;
 }
 
-/** What a backend server made of an order. */
+/** Result of an order: accepted, rejected for a higher fencing number, or failed. */
 export type OrderResult = 'taken' | 'outbid' | 'failed';
 
-/** What the owner of a pool knows of its orders. */
+/** State of the orders of a pool. */
 export interface OrderState {
   desired: DesiredState | undefined;
-  /** No order before this, monotonic milliseconds: an earlier owner's may still arrive. */
+  /**
+   * Earliest time for orders, monotonic milliseconds: until then, orders of an earlier owner may
+   * still arrive. Infinity while orders are not allowed.
+   */
   allowedAt: number;
-  /** When the weight store bears the next load. */
+  /** When the limit of the weight store allows the next load, monotonic milliseconds. */
   nextLoadAt: number;
 }
 
-/** When a request that has ended held its slot, monotonic milliseconds. */
+/** Times of a request that has ended, in monotonic milliseconds. */
 export interface EndedRequest {
   readonly grantedAt: number;
   readonly endedAt: number;
 }
 
-/** A backend server of the pool, as its owner knows it. */
+/** State of a backend server of the pool, as tracked by the pool's owner. */
 export interface WorkerEntity {
   readonly id: string;
   incarnation: string;
@@ -60,64 +66,67 @@
   slots: number;
   canResume: boolean;
   leaving: boolean;
-  /** When it last said that it leaves, monotonic milliseconds. */
+  /** When it last announced that it is leaving, monotonic milliseconds. */
   lastLeavingAt: number;
   announcedAt: number;
-  /** Requests running there that are not this system's, from its reported load. */
+  /** Running requests of other systems, computed from the reported load. */
   externalRequests: number;
-  /** Requests granted here and not yet reported as ended. */
+  /** Ids of granted requests that are not yet reported as ended. */
   readonly running: Set<string>;
-  /** Requests that ended of late: a reported load that lags may still count them. */
+  /** Recently ended requests, which a delayed load report may still include. */
   ended: EndedRequest[];
-  /** Prompt prefixes dispatched there, oldest first. */
+  /** Prompt prefixes dispatched to it with the time of the last use, least recently used first. */
   readonly prefixes: Map<string, number>;
-  /** Observed time over expected time, smoothed; 1 is as expected. */
+  /** Smoothed ratio of observed to expected time; 1 is as expected. */
   slowness: number;
   pace: WorkerPace;
   reach: WorkerReach;
-  /** When a request last failed to arrive, monotonic milliseconds. */
+  /** When it last became unreachable for a request, monotonic milliseconds. */
   suspendedAt: number;
-  /** How long it is left alone from then on. */
+  /** Length of the pause from then on, in milliseconds. */
   pauseMs: number;
-  /** Whether it takes orders. */
+  /** Whether it accepts orders. */
   acceptsOrders: boolean;
-  /** Digest of the state that it says it carries. */
+  /** Digest of the state that it reports as loaded. */
   reportedDigest: string;
-  /** Digest of the state that it was last ordered to carry. */
+  /** Digest of the state in the last order to it. */
   orderedDigest: string;
   orderedAt: number;
   orderPhase: OrderPhase;
-  /** When its turn last changed, monotonic milliseconds. */
+  /** When `orderPhase` last changed, monotonic milliseconds. */
   orderPhaseAt: number;
 }
 
 /**
- * Workers with a free slot, by target and by what makes them alike, so that a choice looks at
- * kinds.
+ * Workers with a free slot, by target and bucket. The workers of a bucket are equivalent for a
+ * choice, so a choice compares one worker of each bucket.
  */
 export interface WorkerIndex {
   /** Target to bucket to worker ids. */
   readonly free: Map<string, Map<string, Set<string>>>;
-  /** Where each indexed worker stands. */
+  /** Targets and bucket of each indexed worker. */
   readonly positions: Map<string, { readonly targets: readonly string[]; readonly bucket: string }>;
-  /** Slots over all workers that may be used, and those in use. */
+  /** Usable slots of all workers. */
   slots: number;
+  /** Used slots of all workers. */
   used: number;
+  /** Usable and used slots of each worker. */
   readonly slotCounts: Map<string, { readonly slots: number; readonly used: number }>;
 }
 
-/** A request that waits for a slot. */
+/** A request that is waiting for a slot. */
 export interface WaitingEntity {
-  /** The newest question for it. */
+  /** Its newest slot request. */
   ask: AskRequest;
   readonly rank: number;
   readonly askedAt: number;
-  /** When the whole answer is late, monotonic milliseconds. */
+  /** Deadline for the whole answer, monotonic milliseconds. */
   readonly deadlineAt: number;
-  /** When its first token is late, monotonic milliseconds. */
+  /** Deadline for the first token, monotonic milliseconds. */
   readonly firstTokenDeadlineAt: number;
-  /** Prompt tokens plus the output expected. */
+  /** Prompt tokens plus expected output tokens. */
   readonly cost: number;
+  /** Expected output tokens. */
   readonly outputTokens: number;
 }
 
@@ -132,21 +141,21 @@
   readonly tier: string;
   readonly promptTokens: number;
   readonly cost: number;
-  /** Number of the question that was granted; 0 where an entry told of it later. */
+  /** Number of the granted slot request; 0 for requests that an entry registered later. */
   readonly askNumber: number;
   readonly grantedAt: number;
-  /** Requests on the worker when this one was granted, itself included. */
+  /** Requests on the worker when this one was granted, including itself. */
   readonly batch: number;
   readonly expectedFirstTokenMs: number;
   started: boolean;
-  /** Set when the owner has already counted this request as late. */
+  /** Whether the owner has already counted this request as late. */
   late: boolean;
 }
 
-/** How requests are matched with workers. */
+/** Name of the policy that assigns requests to workers. */
 export type PolicyName = 'owner' | 'roundRobin' | 'leastOutstanding';
 
-/** Parts of the policy that can be switched off to measure what they bring. */
+/** Mechanisms of the policy; each can be disabled to measure its effect. */
 export interface PolicySettings {
   readonly name: PolicyName;
   readonly affinity: boolean;
@@ -155,7 +164,7 @@
   readonly speeds: boolean;
 }
 
-/** What the owner takes from the manifest. */
+/** Sections of the manifest that the owner uses. */
 export interface ScheduleConfig {
   readonly tiers: Readonly<Record<string, Tier>>;
   readonly accounts: Readonly<Record<string, ClientAccount>>;
@@ -164,25 +173,25 @@
   readonly limits: Limits;
 }
 
-/** How much of a pool one account uses. */
+/** Usage of a pool by one account. */
 export interface AccountUsage {
-  /** Requests waiting and running. */
+  /** Number of waiting and running requests. */
   requests: number;
-  /** Tokens served, divided by the account's weight: the fair queue serves the least first. */
+  /** Served tokens divided by the account's weight; the fair queue serves the lowest first. */
   virtualTokens: number;
-  /** Tokens that may still be used in this minute. */
+  /** Tokens left of the limit per minute; refilled continuously. */
   tokensLeft: number;
   refilledAt: number;
 }
 
-/** How fast a rank is served. */
+/** Recent grant rate of a rank. */
 export interface GrantRate {
   perSecond: number;
-  /** When it was last brought up to date, monotonic milliseconds. */
+  /** When the rate was last updated, monotonic milliseconds. */
   updatedAt: number;
 }
 
-/** All that the owner of one pool knows. */
+/** Complete state of the owner of one pool. */
 export interface ScheduleTables {
   readonly pool: string;
   readonly policy: PolicySettings;
@@ -197,30 +206,30 @@
   readonly accounts: Map<string, AccountUsage>;
   readonly speeds: SpeedTable;
   readonly lengths: LengthModel;
-  /** Sum of the logarithms of all workers' slowness, for their geometric mean. */
+  /** Sum of the logarithms of the slowness of all workers, for the geometric mean. */
   slownessLogSum: number;
-  /** Most requests of a rank that ran at once of late; decays. */
+  /** Recent maximum of concurrently running requests of each rank; decays over time. */
   readonly peakConcurrency: Map<number, number>;
-  /** Prefix to the workers it was dispatched to. */
+  /** Ids of the workers that each prefix was dispatched to. */
   readonly prefixWorkers: Map<string, Set<string>>;
-  /** Entries that must still tell what they run before this owner may shed. */
+  /** Entries that must still register their running requests before this owner may shed load. */
   readonly unregisteredEntries: Set<string>;
-  /** Until then an earlier owner's grants may still start. */
+  /** Until this time, requests granted by an earlier owner may still start. */
   settledAt: number;
-  /** Grants a second of each rank, decaying. */
+  /** Grants per second of each rank, decaying over time. */
   readonly grantRates: Map<number, GrantRate>;
-  /** Smoothed time that a request holds a slot, in milliseconds. */
+  /** Smoothed time for which a request holds a slot, in milliseconds. */
   meanServiceMs: number;
   readonly orders: OrderState;
-  /** Request to the workers that it did not reach; the oldest are forgotten. */
+  /** Workers that could not be reached by each request. The oldest requests are evicted. */
   readonly failedWorkersByRequest: Map<string, readonly string[]>;
-  /** Turn counter of the round-robin baseline. */
+  /** Counter of the round-robin baseline policy. */
   roundRobinCounter: number;
-  /** Workers looked at while choosing, for the bench. */
+  /** Number of workers scored by choices, for the benchmarks. */
   comparisons: number;
 }
 
-/** What happens to a pool. */
+/** Events that the owner of a pool handles. */
 export type ScheduleEvent = | { readonly kind: 'ask'; readonly ask: AskRequest }
   | { readonly kind: 'report'; readonly report: ReportRequest }
   | { readonly kind: 'register'; readonly register: RegisterRequest }
@@ -230,7 +239,7 @@
   | { readonly kind: 'orderAnswered'; readonly result: OrderResult }
   | { readonly kind: 'tick' };
 
-/** What the owner decides. */
+/** Decisions of the owner that the caller must carry out. */
 export type ScheduleEffect = | {
   readonly kind: 'grant';
   readonly requestId: string;
@@ -253,7 +262,7 @@
     readonly desired: DesiredState;
   };
 
-/** One step of the owner. */
+/** One step of the owner: its state, the current time, and the effects so far. */
 export interface ScheduleStep {
   readonly tables: ScheduleTables;
   readonly now: number;
--- a/src/core/schedule/shedSystem.ts
+++ b/src/core/schedule/shedSystem.ts
@@ -7,7 +7,7 @@
 
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 30_000;
-/** Once no worker that can be reached has been known for this long, waiting for one is given up. */
+/** Time after which a waiting request without any reachable worker is refused, in milliseconds. */
 const NO_WORKER_TIMEOUT_MS = 3_000;
 
 const estimateSlotWaitMs = (tables: ScheduleTables, ahead: number): number => (
@@ -15,8 +15,9 @@
 );
 
 /**
- * Estimates how long a request waits for its slot: by the slots that are there, and by how fast
- * its tier was served of late, as higher tiers go on arriving while it waits.
+ * Estimates how long a request waits for its slot, as the maximum of two estimates: one from the
+ * number of slots, and one from the recent grant rate of its tier, because more requests of higher
+ * tiers arrive while it waits.
  *
  * @example
  * const retryAfterMs = estimateWaitMs(tables, waiting, now);
@@ -35,7 +36,7 @@
   return Math.max(bySlots, (inRank + 1) * estimateGrantIntervalMs(tables, rank, now));
 };
 
-/** The time to come back that goes with a refusal, in milliseconds. */
+/** Computes the retry time to send with a refusal, in milliseconds. */
 export const computeRetryAfterMs = (
   tables: ScheduleTables,
   waiting: WaitingEntity,
@@ -54,10 +55,10 @@
 );
 
 /*
- * Guards against tier inversion: a tier may be refused for want of capacity only while this owner
- * knows that nothing lower holds a slot. An owner that took over knows it once every entry has told
- * what it runs and the grants of the owner before it can no longer start. The lowest tier has
- * nothing below it.
+ * Guards against tier inversion: a tier may be refused for lack of capacity only if no request of a
+ * lower tier holds a slot. After a takeover this is certain only when every entry has registered
+ * its running requests and grants of the earlier owner can no longer start. The lowest tier may
+ * always be refused.
  */
 export const canShed = (tables: ScheduleTables, rank: number, now: number): boolean => {
   if (tables.policy.name !== 'owner' || isLowestRank(tables, rank)) return true;
@@ -65,7 +66,7 @@
   return isSettled && !hasLowerTierRunning(tables, rank);
 };
 
-/** Gives a waiting request its final answer, at once. */
+/** Refuses a waiting request immediately and removes it from the queue. */
 export const refuseWaiting = (
   step: ScheduleStep,
   waiting: WaitingEntity,
@@ -84,8 +85,11 @@
   });
 };
 
-/** The least time that the request itself takes, in milliseconds. */
-const estimateMinimumMs = (tables: ScheduleTables, { ask, outputTokens }: WaitingEntity): number => {
+/** Estimates the shortest processing time of a request on any hardware type, in milliseconds. */
+const estimateMinimumMs = (
+  tables: ScheduleTables,
+  { ask, outputTokens }: WaitingEntity,
+): number => {
   const promptTokens = ask.prefixes.length > 0 ? 0 : ask.promptTokens;
   const times = [...tables.speeds.keys()].map((hardware) => (
     estimateTotalMs(tables.speeds, hardware, 1, promptTokens, outputTokens)));
@@ -93,7 +97,7 @@
 };
 
 /**
- * Whether the request can still be answered in time if it gets its slot after the expected wait.
+ * Whether a request can still be answered before its deadlines if it waits `waitMs` for its slot.
  */
 const canMeetDeadline = (
   tables: ScheduleTables,
@@ -110,20 +114,22 @@
 const shedLate = (step: ScheduleStep, waiting: WaitingEntity): void => {
   const { tables, now } = step;
   if (canMeetDeadline(tables, waiting, 0, now) || !canShed(tables, waiting.rank, now)) return;
-  refuseWaiting(step, waiting, 'noSlotInTime', `no slot in pool "${tables.pool}" for tier "${waiting.ask.tier}" before its deadline`);
+  refuseWaiting(step, waiting, 'noSlotInTime', `no slot in pool "${tables.pool}" for tier "${waiting.ask.tier}" before the deadline`);
 };
 
 const shedWithoutWorker = (step: ScheduleStep, waiting: WaitingEntity): void => {
   const { tables, now } = step;
-  if (now - waiting.askedAt < NO_WORKER_TIMEOUT_MS || !tables.waiting.has(waiting.ask.requestId)) return;
+  if (
+    now - waiting.askedAt < NO_WORKER_TIMEOUT_MS || !tables.waiting.has(waiting.ask.requestId)
+  ) return;
   const isServed = [...tables.workers.values()]
     .filter((worker) => !worker.leaving && worker.reach !== 'suspended')
     .some((worker) => worker.targets.includes(waiting.ask.target));
   if (isServed || !canShed(tables, waiting.rank, now)) return;
-  refuseWaiting(step, waiting, 'noBackend', `no backend server of pool "${tables.pool}" carries "${waiting.ask.target}"`);
+  refuseWaiting(step, waiting, 'noBackend', `no available backend server of pool "${tables.pool}" serves "${waiting.ask.target}"`);
 };
 
-/** Orders what is shed first: lowest tier, then costliest in prefill, then newest. */
+/** Sorts requests in the order of shedding: lowest tier, then longest prompt, then newest. */
 const compareForShedding = (a: WaitingEntity, b: WaitingEntity): number => b.rank - a.rank
   || b.ask.promptTokens - a.ask.promptTokens
   || b.askedAt - a.askedAt;
@@ -136,12 +142,12 @@
     .sort(compareForShedding)
     .slice(0, excess)
     .filter((waiting) => canShed(tables, waiting.rank, now))
-    .forEach((waiting) => refuseWaiting(step, waiting, 'queueFull', `${tables.config.limits.queuePerPool} requests wait in pool "${tables.pool}"`));
+    .forEach((waiting) => refuseWaiting(step, waiting, 'queueFull', `${tables.config.limits.queuePerPool} requests are already waiting in pool "${tables.pool}"`));
 };
 
 /**
- * Refuses what can no longer be answered in time or finds no room, where that breaks no tier's
- * protection.
+ * Refuses waiting requests that can no longer meet their deadline, have no reachable worker or
+ * exceed the queue limit, unless that would cause a tier inversion.
  *
  * @example
  * runShedSystem(step);
@@ -154,10 +160,11 @@
 };
 
 /**
- * Refuses a newcomer whose deadline the backlog does not allow, before any prefill is spent on it.
+ * Whether the current backlog prevents a new request from meeting its deadline, so that it can be
+ * refused before any prefill is spent on it.
  *
  * @example
- * if (!isHopeless(tables, waiting, now)) addWaiting(tables, waiting);
+ * if (!isDeadlineUnreachable(tables, waiting, now)) addWaiting(tables, waiting);
  */
 export const isDeadlineUnreachable = (
   tables: ScheduleTables,
--- a/src/core/schedule/speedModel.ts
+++ b/src/core/schedule/speedModel.ts
@@ -1,15 +1,15 @@
 /**
- * Speed of each hardware type, learnt from our own timings. A worker that has just announced itself
- * starts with what is known of its type, as Sia bootstraps its throughput models (Jayaram
+ * Speed of each hardware type, estimated from measured request times. A new worker starts with the
+ * estimates for its hardware type, as Sia bootstraps its throughput models (Jayaram
  * Subramanya et al., "Sia: Heterogeneity-aware, goodput-optimized ML-cluster scheduling", SOSP
  * 2023).
  */
 
-/** What is known of one hardware type. */
+/** Speed estimates for one hardware type. */
 export interface HardwareSpeed {
-  /** Milliseconds for one prompt token that is not in the cache. */
+  /** Milliseconds per prompt token that is not in the cache. */
   prefillMs: number;
-  /** Milliseconds for one output token, by batch bucket. */
+  /** Milliseconds per output token, by batch bucket. */
   readonly decodeMs: Map<number, number>;
   samples: number;
 }
@@ -17,7 +17,7 @@
 /** Speeds by hardware type. */
 export type SpeedTable = Map<string, HardwareSpeed>;
 
-/** One finished request, as timed by the entry that relayed it. */
+/** Times of one finished request, as measured by the entry that relayed it. */
 export interface SpeedSample {
   readonly hardware: string;
   readonly batch: number;
@@ -31,7 +31,7 @@
 const DEFAULT_PREFILL_MS = 0.1;
 const DEFAULT_DECODE_MS = 10;
 const MAX_HARDWARE_TYPES = 64;
-/** Shorter prompts tell more of the network than of the prefill. */
+/** For shorter prompts, the network dominates the time to the first token. */
 const MIN_PROMPT_TOKENS = 32;
 
 const pickBucket = (batch: number): number => Math.ceil(Math.log2(Math.max(1, batch)));
@@ -64,7 +64,7 @@
 ): number => (speeds.get(hardware)?.prefillMs ?? DEFAULT_PREFILL_MS) * promptTokens;
 
 /**
- * Estimates the time to the whole answer in milliseconds.
+ * Estimates the time to the complete answer in milliseconds.
  *
  * @example
  * estimateTotalMs(speeds, 'fast', 4, 800, 120);
@@ -89,12 +89,12 @@
 };
 
 /**
- * Learns from one finished request.
+ * Updates the estimates from one finished request.
  *
  * @example
- * learnSpeed(speeds, sample);
+ * updateSpeed(speeds, sample);
  */
-export const learnSpeed = (speeds: SpeedTable, sample: SpeedSample): void => {
+export const updateSpeed = (speeds: SpeedTable, sample: SpeedSample): void => {
   const speed = findSpeed(speeds, sample.hardware);
   if (!speed) return;
   const first = speed.samples === 0;
--- a/src/core/schedule/workerIndex.ts
+++ b/src/core/schedule/workerIndex.ts
@@ -2,17 +2,17 @@
 
 const PROBE_SLOTS = 1;
 
-/** Makes an empty index. */
+/** Creates an empty index. */
 export const makeWorkerIndex = (): WorkerIndex => ({
   free: new Map(), positions: new Map(), slots: 0, used: 0, slotCounts: new Map(),
 });
 
 /**
- * Computes how many requests of ours a worker may run: its slots, less what others run there, and
- * only a probe while it is eased out or was not reached of late.
+ * Computes how many requests of this system a worker may run: its slots minus external requests, or
+ * a single probe while it is slow or was recently unreachable.
  *
  * @example
- * const free = readUsableSlots(worker) - worker.running.size;
+ * const free = computeUsableSlots(worker) - worker.running.size;
  */
 export const computeUsableSlots = (worker: WorkerEntity): number => {
   if (worker.leaving || worker.reach === 'suspended' || worker.orderPhase !== 'serving') return 0;
@@ -57,7 +57,8 @@
 };
 
 /**
- * Puts a worker where it now belongs. Call it after every change of a worker.
+ * Updates the bucket and the slot counts of a worker. Must be called after every change of a
+ * worker.
  *
  * @example
  * worker.running.add(requestId);
@@ -70,14 +71,14 @@
   if (worker.running.size < usable) addToBuckets(index, worker);
 };
 
-/** Takes a worker out. */
+/** Removes a worker from the index. */
 export const removeFromIndex = (index: WorkerIndex, id: string): void => {
   removeFromBuckets(index, id);
   updateSlotCounts(index, id, 0, 0);
   index.slotCounts.delete(id);
 };
 
-/** One worker of every bucket that serves a target. */
+/** Lists one worker of each bucket that serves a target. */
 export const listCandidates = (index: WorkerIndex, target: string): string[] => (
   [...(index.free.get(target)?.values() ?? [])]
     .flatMap((ids) => ids.values().next().value ?? [])
--- a/src/core/schedule/workerReach.ts
+++ b/src/core/schedule/workerReach.ts
@@ -16,12 +16,15 @@
   updateIndex(tables.index, worker);
 };
 
-/** Whether a grant says something of the worker as it is now, and not as it was before a pause. */
+/** Whether a request was granted after the last suspension, so that its result is current. */
 const isCurrentGrant = (worker: WorkerEntity, { grantedAt }: RunningEntity): boolean => (
   grantedAt >= worker.suspendedAt
 );
 
-const recordFailedWorker = ({ failedWorkersByRequest: failedWorkersByRequest }: ScheduleTables, { requestId, workerId }: RunningEntity): void => {
+const recordFailedWorker = (
+  { failedWorkersByRequest }: ScheduleTables,
+  { requestId, workerId }: RunningEntity,
+): void => {
   const workers = failedWorkersByRequest.get(requestId) ?? [];
   failedWorkersByRequest.delete(requestId);
   failedWorkersByRequest.set(requestId, [...workers, workerId]);
@@ -31,9 +34,9 @@
 };
 
 /*
- * Guards against a request that loses all its attempts to one server, as the probe of each pause:
- * it is kept for the others that carry its target, busy or not, and goes back only when there is no
- * other.
+ * Guards against a request that spends all its attempts on one unreachable server, as the probe
+ * after each pause. The request waits for another worker that serves its target, even if that
+ * worker is busy, and tries the same worker again only if there is no other.
  */
 export const canAttempt = (
   tables: ScheduleTables,
@@ -48,11 +51,12 @@
 };
 
 /*
- * Guards against a backend server that announces itself and cannot be reached: a path is broken, or
- * something else listens at its address. Its announcements go on, so they say nothing of its reach;
- * it would take every waiting request again at each of them, until the requests have no attempts
- * left. It is left alone for a pause that doubles, and then gets one request as a probe. Grants
- * that were under way together count as one failure.
+ * Guards against a backend server that announces itself but cannot be reached, because the network
+ * path is broken or another process listens at its address. Its announcements continue, so they do
+ * not show that it is reachable; each of them would assign it the waiting requests again until they
+ * have no attempts left. The server therefore receives no requests for a pause, which doubles with
+ * each failure, and then a single request as a probe. Failures of grants that were in flight at the
+ * same time count as one.
  */
 export const handleUnreachable = (step: ScheduleStep, running: RunningEntity): void => {
   const { tables, now } = step;
@@ -64,7 +68,7 @@
   setReach(tables, worker, 'suspended');
 };
 
-/** A request arrived at the worker: it takes its full load again. */
+/** Returns a worker to full load after a request has reached it. */
 export const handleReached = ({ tables }: ScheduleStep, running: RunningEntity): void => {
   tables.failedWorkersByRequest.delete(running.requestId);
   const worker = tables.workers.get(running.workerId);
@@ -73,7 +77,7 @@
   setReach(tables, worker, 'reached');
 };
 
-/** A new start of a worker is probed at once: what was learnt of the one before may be wrong. */
+/** Probes a restarted worker immediately, because its new incarnation may be reachable. */
 export const handleRestart = ({ tables }: ScheduleStep, worker: WorkerEntity): void => {
   if (worker.reach === 'suspended') setReach(tables, worker, 'probed');
 };
@@ -83,7 +87,7 @@
   if (isOver) setReach(tables, worker, 'probed');
 };
 
-/** Lets workers whose pause is over take a probe. */
+/** Allows a probe on workers whose pause has ended. */
 export const runReachSystem = ({ tables, now }: ScheduleStep): void => {
   tables.workers.forEach((worker) => endPause(tables, worker, now));
 };
--- a/src/core/schedule/workerSystems.ts
+++ b/src/core/schedule/workerSystems.ts
@@ -5,7 +5,7 @@
   RunningEntity, ScheduleStep, ScheduleTables, WorkerEntity,
 } from './scheduleTypes';
 
-/** Silence after which a backend server counts as leaving, in milliseconds. */
+/** Time without an announcement after which a backend server counts as leaving, in milliseconds. */
 export const ANNOUNCEMENT_TIMEOUT_MS = 3_000;
 
 const WORKER_RETENTION_MS = 60_000;
@@ -32,7 +32,7 @@
   tables.workers.delete(worker.id);
 };
 
-/** Backend servers that fell silent get no more work; those long gone are forgotten. */
+/** Stops using backend servers without recent announcements and later removes them. */
 export const runExpirySystem = (step: ScheduleStep): void => {
   const { tables } = step;
   [...tables.workers.values()].forEach((worker) => {
@@ -43,8 +43,9 @@
 };
 
 /*
- * Guards against easing out a whole pool that is merely overloaded: a worker is judged against the
- * geometric mean of its pool, so that it is slow only when others are not.
+ * Guards against reducing the load of all workers of a pool that is only overloaded: the slowness
+ * of a worker is divided by the geometric mean of the pool, so a worker counts as slow only if the
+ * others are not.
  */
 const computeRelativeSlowness = (tables: ScheduleTables, worker: WorkerEntity): number => (
   worker.slowness / Math.exp(tables.slownessLogSum / Math.max(1, tables.workers.size))
@@ -59,14 +60,14 @@
 };
 
 /**
- * Learns how a worker keeps to what is expected of its hardware type: far behind the others, it is
- * eased out to probes; the probes bring it back.
+ * Updates the slowness of a worker, relative to the expected speed of its hardware type. A worker
+ * that is much slower than the others receives only probes; fast probes restore its full load.
  *
- * @param ratio observed time over expected time
+ * @param ratio observed time divided by expected time
  * @example
- * learnSlowness(tables, worker, 1.2);
+ * updateSlowness(tables, worker, 1.2);
  */
-export const learnSlowness = (
+export const updateSlowness = (
   tables: ScheduleTables,
   worker: WorkerEntity,
   ratio: number,
@@ -85,15 +86,15 @@
   if (now - running.grantedAt < allowed) return;
   running.late = true;
   const worker = tables.workers.get(running.workerId);
-  if (worker) learnSlowness(tables, worker, MAX_SLOWNESS_SAMPLE);
+  if (worker) updateSlowness(tables, worker, MAX_SLOWNESS_SAMPLE);
 };
 
-/** Finds workers that are late with their first tokens before they answer anything. */
+/** Detects workers whose first tokens are late, without waiting for the answers. */
 export const runStragglerSystem = (step: ScheduleStep): void => {
   step.tables.running.forEach((running) => markLate(step, running));
 };
 
-/** Lets the learnt need for headroom fade. */
+/** Decays the recorded peaks, which determine the headroom. */
 export const runPeakDecaySystem = ({ tables }: ScheduleStep): void => {
   tables.peakConcurrency.forEach((peak, rank) => {
     const running = tables.runningByRank.get(rank) ?? 0;
--- a/tests/core/logModel.ts
+++ b/tests/core/logModel.ts
@@ -30,7 +30,7 @@
   return { ...disk, hardState: effect.hardState, entries: [...kept, ...effect.entries] };
 };
 
-/** Replicas over a network and disks that do what the steps say; checks what must always hold. */
+/** Simulates replicas, a network and disks under the given steps, and checks the invariants. */
 export class LogModel {
   now = 0;
 
@@ -38,13 +38,13 @@
 
   readonly network: LogMessage[] = [];
 
-  /** What was applied at each index, by whichever replica came first. */
+  /** Command applied at each index, as recorded by the first replica that applied it. */
   readonly history = new Map<number, string>();
 
   readonly leaders = new Map<number, string>();
 
-  /** Replicas that nothing reaches and that reach nobody. */
-  private readonly cut = new Set<string>();
+  /** Replicas that are disconnected from the network. */
+  private readonly disconnected = new Set<string>();
 
   private proposals = 0;
 
@@ -56,7 +56,7 @@
     this.nodes = voters.map(({ id }) => this.makeNode(id, makeEmptyLog(replicas)));
   }
 
-  /** Runs one step and checks the invariants that concern all replicas. */
+  /** Runs one step and checks the invariants across all replicas. */
   run(step: ModelStep): void {
     const runners: Record<ModelStep['kind'], () => void> = {
       advance: () => this.advance((step as { ms: number }).ms),
@@ -70,10 +70,10 @@
       crash: () => this.crash(this.pickNode(step)),
       compact: () => this.compact(this.pickNode(step)),
       cut: () => {
-        this.cut.add(this.pickNode(step).state.id);
+        this.disconnected.add(this.pickNode(step).state.id);
       },
       join: () => {
-        this.cut.delete(this.pickNode(step).state.id);
+        this.disconnected.delete(this.pickNode(step).state.id);
       },
       rush: () => this.startElection(this.pickNode(step)),
       round: () => this.runRound((step as { ms: number }).ms),
@@ -82,9 +82,9 @@
     this.checkLeases();
   }
 
-  /** Lets everything through for a while; returns whether a proposal was then applied by all. */
+  /** Runs without faults for some rounds; returns whether all replicas applied recent proposals. */
   restoreAll(rounds: number): boolean {
-    this.cut.clear();
+    this.disconnected.clear();
     Array.from({ length: rounds }).forEach((unused, round) => {
       this.runRound(50);
       if (round % 20 === 0) this.nodes.forEach((node) => this.propose(node));
@@ -93,7 +93,7 @@
     return last > 0 && this.nodes.every(({ state }) => state.appliedIndex >= last - 40);
   }
 
-  /** Time passes, all disks sync and all messages that can arrive do. */
+  /** Advances the time, syncs all disks and delivers all messages that can arrive. */
   private runRound(ms: number): void {
     this.advance(ms);
     this.nodes.forEach((node) => this.flush(node));
@@ -102,7 +102,7 @@
     this.checkLeases();
   }
 
-  /** One replica's clock reaches its election at once, as after a long pause. */
+  /** Makes the election of one replica due immediately, as after a long pause. */
   private startElection(node: ModelNode): void {
     node.state.electionAt = this.now;
     this.handle(node, { kind: 'tick' });
@@ -135,8 +135,9 @@
 
   private deliver(message: LogMessage | undefined): void {
     const node = this.nodes.find(({ state }) => state.id === message?.to);
-    const isCut = message && (this.cut.has(message.from) || this.cut.has(message.to));
-    if (node && message && !isCut) this.handle(node, { kind: 'message', message });
+    const isDisconnected = message
+      && (this.disconnected.has(message.from) || this.disconnected.has(message.to));
+    if (node && message && !isDisconnected) this.handle(node, { kind: 'message', message });
   }
 
   private propose(node: ModelNode): void {
@@ -144,7 +145,7 @@
     this.handle(node, { kind: 'propose', command: `p${this.proposals}` });
   }
 
-  /** What was not flushed is lost, with all it would have sent. */
+  /** Discards the effects that were not flushed, including unsent messages. */
   private crash(node: ModelNode): void {
     node.queue = [];
     node.state = makeLogState(node.state.id, node.disk, this.drawRandom, this.now);
@@ -156,7 +157,7 @@
     this.handle(node, { kind: 'snapshotTaken', index: state.appliedIndex, data: `${state.appliedIndex}` });
   }
 
-  /** Does what the runner does with a batch: all writes and one sync, then the rest in order. */
+  /** Handles a batch like the log runner: all writes, one sync, then the other effects in order. */
   private flush(node: ModelNode): void {
     const batch = node.queue;
     node.queue = [];
@@ -182,7 +183,7 @@
   private recordApplied({ index, term, command }: LogEntry): void {
     const text = `${term} ${command}`;
     const known = this.history.get(index) ?? text;
-    if (known !== text) throw new Error(`index ${index} was "${known}" and is "${text}"`);
+    if (known !== text) throw new Error(`index ${index} was applied as "${known}" and then as "${text}"`);
     this.history.set(index, text);
   }
 
--- a/tests/core/schedule-tiers.spec.ts
+++ b/tests/core/schedule-tiers.spec.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { handleScheduleEvent } from '../../src/core/schedule/poolSchedule';
-import { learnSlowness } from '../../src/core/schedule/workerSystems';
+import { updateSlowness } from '../../src/core/schedule/workerSystems';
 import type { ScheduleEffect } from '../../src/core/schedule/scheduleTypes';
 import { RegisterRequest } from '../../src/protocol/generated/beechlift';
 import {
@@ -13,10 +13,11 @@
 
 describe('the owner of a pool', () => {
   /*
-   * A family stands before a locked door: its request was refused as "no slot", while house rules
-   * were still being summarised. Bursts of all tiers come while workers come, go and slow down.
+   * Guards against tier inversion: a request of a high tier is refused for lack of a slot while
+   * requests of a lower tier are running. Bursts of all tiers arrive while workers join, leave and
+   * slow down.
    */
-  it('should never refuse a tier for want of a slot while a lower one holds one', () => {
+  it('should never refuse a tier for lack of a slot while a lower tier holds one', () => {
     let refusals = 0;
     const action = fc.record({
       tier: fc.constantFrom(...TIERS),
@@ -53,15 +54,15 @@
         return asked && ended && check(handleScheduleEvent(tables, { kind: 'tick' }, now), ranks);
       });
     }), SEARCH);
-    // The check would pass if nothing were ever refused.
+    // Ensures that requests are refused; the check above also passes without any refusal.
     expect(refusals).toBeGreaterThan(runs);
   });
 
   /*
-   * The owner of a pool died, and its successor refuses a door code: it does not know yet that an
-   * entry VM still runs a bale history which the old owner granted.
+   * Guards against tier inversion after a takeover: the new owner of a pool refuses a request of a
+   * high tier before an entry VM has registered a lower-tier request granted by the earlier owner.
    */
-  it('should refuse nothing but the lowest tier before all entries have told what they run', () => {
+  it('should refuse only the lowest tier before all entries have registered their running requests', () => {
     const tables = makeTables(['e2'], 5_000);
     const tick = (now: number) => listKinds(handleScheduleEvent(tables, { kind: 'tick' }, now));
     ask(tables, 'door', 'door', 0, { deadlineMs: 100 });
@@ -83,8 +84,8 @@
     expect(tick(6_400)).toEqual(['refuse door']);
   });
 
-  /* A burst fills all engines with histories, and the next door code waits for one to end. */
-  it('should keep headroom for a higher tier that was seen of late', () => {
+  /* Guards against a burst of a low tier that occupies all slots, so that a high tier must wait. */
+  it('should keep headroom for a higher tier that was used recently', () => {
     const tables = makeTables();
     announce(tables, 'w1', 10, 0);
     ask(tables, 'd1', 'door', 1);
@@ -96,8 +97,8 @@
     expect(listKinds(ask(tables, 'd2', 'door', 4))).toEqual(['grant d2']);
   });
 
-  /* An engine said that it leaves, and still gets new requests, which die with it. */
-  it('should grant nothing on a worker that leaves or fell silent', () => {
+  /* Guards against new requests to an engine that is leaving; they would fail when it stops. */
+  it('should grant nothing on a worker that is leaving or has timed out', () => {
     const tables = makeTables();
     announce(tables, 'w1', 2, 0);
     announce(tables, 'w2', 2, 0);
@@ -108,8 +109,9 @@
   });
 
   /*
-   * One large account sends a thousand requests at once. A small one's request is refused for the
-   * backlog of the large one, though it would be served second; or it waits behind all of it.
+   * Guards against the backlog of a large account that delays a small one: a request of the small
+   * account is refused because of the backlog, although it would be served second, or it waits
+   * behind the whole backlog.
    */
   it('should share slots between accounts of a tier by tokens', () => {
     const tables = makeTables();
@@ -136,11 +138,11 @@
   });
 
   /*
-   * The older scheduler still uses an engine. Its requests were taken for free slots, and every
-   * request of ours queued inside the engine behind them. Own requests that the lagging load still
-   * counts are not taken for others'.
+   * Guards against overloading an engine that another scheduler also uses: slots used by its
+   * requests were treated as free, so own requests queued inside the engine. Own requests that a
+   * delayed load report still includes do not count as external.
    */
-  it('should leave room for load that is not ours, and not count its own twice', () => {
+  it('should leave slots for external load and not count own requests twice', () => {
     const tables = makeTables();
     announce(tables, 'w1', 4, 0);
     ask(tables, 'r1', 'door', 100);
@@ -155,11 +157,11 @@
   });
 
   /*
-   * A burst makes every engine slower than it was alone. The pool's owner took all of them for
-   * stragglers and left each a single probe: the pool stood still with free slots. Only an engine
-   * that falls behind the others is eased out, and it comes back when it keeps up again.
+   * Guards against a pool that stalls with free slots: a burst slows down all engines, and the
+   * owner limited each of them to a single probe as a straggler. Only an engine that is slower than
+   * the others may be limited, and it returns to full load when it has caught up.
    */
-  it('should ease out a worker that falls behind the others, and not a whole pool', () => {
+  it('should reduce the load of a worker that is slower than the others, but not of a whole pool', () => {
     const tables = makeTables();
     ['w1', 'w2', 'w3'].forEach((id) => announce(tables, id, 4, 0));
     let now = 1;
@@ -179,14 +181,14 @@
     expect(listEased()).toEqual([]);
     runMany('c', () => false);
     const worker = tables.workers.get('w2');
-    Array.from({ length: 8 }).forEach(() => worker && learnSlowness(tables, worker, 10));
+    Array.from({ length: 8 }).forEach(() => worker && updateSlowness(tables, worker, 10));
     expect(listEased()).toEqual(['w2']);
-    Array.from({ length: 20 }).forEach(() => worker && learnSlowness(tables, worker, 1));
+    Array.from({ length: 20 }).forEach(() => worker && updateSlowness(tables, worker, 1));
     expect(listEased()).toEqual([]);
   });
 
-  /* The report of an end was lost, and the slot of a request that is long over stays taken. */
-  it('should free what an entry no longer names', () => {
+  /* Guards against a slot that stays occupied because the report of a finished request was lost. */
+  it('should release the slots of requests that an entry no longer lists', () => {
     const tables = makeTables();
     announce(tables, 'w1', 1, 0);
     ask(tables, 'r1', 'door', 1);
