--- a/tests/core/bad-input.spec.ts
+++ b/tests/core/bad-input.spec.ts
@@ -46,7 +46,7 @@
   fc.constantFrom(undefined, -1, 1e308, 2 ** 53, '', '__proto__', 'constructor', [], {}, null),
 );
 
-/** A document with up to three of its parts replaced or taken out. */
+/** Generates documents with up to three parts replaced or removed. */
 const buildChanged = (document: unknown): fc.Arbitrary<string> => fc
   .array(fc.tuple(fc.constantFrom(...listPaths(document)), anyItem), { minLength: 1, maxLength: 3 })
   .map((changes) => changes.reduce(
@@ -63,7 +63,7 @@
   { weight: 1, arbitrary: fc.string() },
 );
 
-/** Whether it gives a result or an error with a number. */
+/** Whether a reader returns a result or throws an error with a number; rethrows other errors. */
 const hasDefinedOutcome = (read: () => unknown): boolean => {
   try {
     return read() !== undefined;
@@ -78,8 +78,8 @@
   fc.oneof(fc.string({ maxLength: 300 }), fc.array(fc.string())),
 );
 
-describe('bad input in bulk', () => {
-  it('should find the faults of any manifest and never fail on one', () => {
+describe('invalid input', () => {
+  it('should report the faults of any manifest and never throw', () => {
     runSearch(fc.property(buildInvalid(JSON.parse(readExample('manifest.json'))), (text) => {
       const { manifest: good, faults } = checkManifest(text, manifest);
       expect(faults.length > 0).toBe(good === undefined);
@@ -94,7 +94,7 @@
     ['control', parseControlSettings, {
       id: 'c1', address: '127.0.0.1:3', adminAddress: '127.0.0.1:4', dataFolder: '/tmp/x', zone: 'az-1', firstOperatorKeyHash: 'a'.repeat(64), replicas: [{ id: 'c1', address: '127.0.0.1:3', zone: 'az-1' }],
     }],
-  ] as const)('should answer any settings of %s with a number', (kind, parse, good) => {
+  ] as const)('should accept any settings of %s or throw an error with a number', (kind, parse, good) => {
     expect(parse(JSON.stringify(good))).toBeDefined();
     runSearch(
       fc.property(buildInvalid(good), (text) => hasDefinedOutcome(() => parse(text))),
@@ -102,7 +102,7 @@
     );
   });
 
-  it('should answer any announcement with a number', () => {
+  it('should accept any announcement or throw an error with a number', () => {
     const good = {
       id: 'g1', incarnation: 'a', pool, kind: 'model', address: '127.0.0.1:1', models: [model], slots: 4, abilities: ['resume'], state: 'ready', running: 1, loadAgeMs: 5, evictedPrefixes: ['a'], orderDigest: '',
     };
@@ -112,7 +112,7 @@
     ), SEARCH);
   });
 
-  it('should answer any request body and headers with a number', () => {
+  it('should accept any request body and headers or throw an error with a number', () => {
     const good = {
       model, prompt: 'hello', max_tokens: 5, stream: true, messages: [{ role: 'user', content: 'hello' }],
     };
@@ -135,10 +135,11 @@
   });
 
   /*
-   * Another entry runs a different version, or its memory is damaged, and sends the owner of a pool
-   * nonsense. The owner must go on deciding for all others, within its bounds.
+   * Guards against invalid messages of an entry that runs another version or has corrupted memory.
+   * The owner of a pool must continue to schedule for all others and keep its tables within their
+   * bounds.
    */
-  it('should take any message of an entry and keep its tables within their bounds', () => {
+  it('should handle any message of an entry and keep its tables within their bounds', () => {
     const id = fc.oneof(fc.constantFrom('a', 'b', 'g1', '__proto__', ''), fc.string());
     const number = fc.oneof(fc.integer(), fc.constantFrom(0, -1, 2 ** 31 - 1));
     const running = fc.record({
--- a/tests/core/claims-model.spec.ts
+++ b/tests/core/claims-model.spec.ts
@@ -27,7 +27,7 @@
 
   readonly holders = new Map<string, ClaimHolder>();
 
-  /** Decides when a sync is done, once the holders have started. */
+  /** Schedules the completion of syncs, once the holders have started. */
   scheduler: fc.Scheduler | undefined;
 
   async start(id: string): Promise<void> {
@@ -40,14 +40,14 @@
     this.holders.set(id, holder);
   }
 
-  /** Power is lost at a holder and comes back; only what was synced is there. */
+  /** Simulates a power loss and restart of a holder; only synced data remains. */
   async restart(id: string): Promise<void> {
     this.holders.delete(id);
     this.files.get(id)?.restart();
     await this.start(id);
   }
 
-  /** Links on which the scheduler decides what arrives when, and some replies are lost. */
+  /** Creates links on which the scheduler orders the messages and some replies are lost. */
   makeLinks(scheduler: fc.Scheduler, isLost: () => boolean): LinkTable<ControlClient> {
     const stub = { prepareClaim: { bind: () => 'prepare' }, acceptClaim: { bind: () => 'accept' } };
     const find = (id: string) => ({
@@ -57,11 +57,11 @@
       ) => {
         await scheduler.schedule(Promise.resolve(), `to ${id}`);
         const holder = this.holders.get(id);
-        if (!holder) throw new Error('starts again');
+        if (!holder) throw new Error('the holder is restarting');
         const reply = await holder[pick(stub)](request);
-        if (holder !== this.holders.get(id)) throw new Error('lost power before it answered');
+        if (holder !== this.holders.get(id)) throw new Error('lost power before the reply');
         await scheduler.schedule(Promise.resolve(), `from ${id}`);
-        if (isLost()) throw new Error('lost');
+        if (isLost()) throw new Error('the reply was lost');
         return reply;
       },
     });
@@ -93,7 +93,7 @@
   workerId: 'g1', workerAddress: 'g1:80', workerIncarnation: 'i', streamId, canResume: true,
 });
 
-/** Dispatches after it has given some dispatches back; whether the last one went through. */
+/** Releases a number of dispatches and dispatches again; returns whether the last one succeeded. */
 const tryAfterReleases = async (
   client: ClaimClient,
   streamId: string,
@@ -119,11 +119,11 @@
 
 describe('claims', () => {
   /*
-   * A tired guest presses twice, and two rooms are issued. The same key reaches several entry VMs
-   * at once, messages cross and replies are lost, and holders lose power in between; two of the
-   * entries each believe that they may dispatch.
+   * Guards against dispatching one idempotency key twice. Several entry VMs receive the key at the
+   * same time, messages are reordered, replies are lost and holders lose power, so that two entries
+   * could both obtain the claim.
    */
-  it('should let at most one entry dispatch a key, in whatever order messages come', async () => {
+  it('should let at most one entry dispatch a key, in any order of messages', async () => {
     let dispatches = 0;
     const runs = await runSearchAsync(fc.asyncProperty(
       fc.scheduler(),
@@ -152,15 +152,15 @@
         return dispatched <= 1;
       },
     ), SEARCH);
-    // The check would pass if nobody ever dispatched.
+    // Ensures that enough runs dispatch; the check above also passes without any dispatch.
     expect(dispatches).toBeGreaterThan(runs / 3);
   });
 
   /*
-   * Guards against two runs where an entry gave a dispatch back and made another: a holder that had
-   * heard of the first but not of the second told the next entry that the claim was free.
+   * Guards against running a request twice after an entry released a dispatch and made another: a
+   * holder that had received the first dispatch but not the second reported the claim as free.
    */
-  it('should let at most one entry dispatch a key where attempts are given back and made anew', async () => {
+  it('should let at most one entry dispatch a key when dispatches are released and repeated', async () => {
     let dispatches = 0;
     const runs = await runSearchAsync(fc.asyncProperty(
       fc.scheduler(),
@@ -183,7 +183,7 @@
         return dispatched <= 1;
       },
     ), RELEASE_SEARCH);
-    // The check would pass if nobody ever dispatched.
+    // Ensures that enough runs dispatch; the check above also passes without any dispatch.
     expect(dispatches).toBeGreaterThan(runs / 3);
   });
 });
--- a/tests/core/log-guards.spec.ts
+++ b/tests/core/log-guards.spec.ts
@@ -22,7 +22,7 @@
   effects.flatMap((effect) => (effect.kind === 'send' ? [effect.message] : [])).at(-1)
 );
 
-/** What the disk holds after the effects were carried out. */
+/** Returns the stored log after the effects were carried out. */
 const store = (stored: StoredLog, effects: readonly LogEffect[]): StoredLog => effects.reduce(
   (disk, effect) => (effect.kind === 'persist'
     ? { ...disk, hardState: effect.hardState, entries: [...disk.entries, ...effect.entries] }
@@ -47,9 +47,9 @@
 
 describe('a replica of the log', () => {
   /*
-   * Two operators each hold an acceptance of version 8, with other contents. A replica voted,
-   * crashed, and voted again in the same term for another, as its vote was not on disk; so two
-   * leaders each had a majority.
+   * Guards against two leaders in one term, which could accept different contents as version 8. A
+   * replica that crashes before its vote is on disk could vote for another candidate in the same
+   * term.
    */
   it('should not vote twice in a term after a crash', () => {
     const before = makeReplica();
@@ -60,10 +60,10 @@
   });
 
   /*
-   * An accepted manifest is gone after its leader died. A replica that lacked it was elected, as
-   * those who held it voted for a shorter log.
+   * Guards against losing an accepted manifest when its leader fails: a replica without the
+   * manifest is elected because replicas that store it vote for a shorter log.
    */
-  it('should not vote for a log that lacks what it holds', () => {
+  it('should not vote for a log that lacks its own entries', () => {
     const stored = {
       ...empty, hardState: { term: 2, votedFor: '' }, entries: [makeEntry(1, 1), makeEntry(2, 2)],
     };
@@ -76,9 +76,9 @@
   });
 
   /*
-   * An operator reads version 8 as accepted, and later version 7 is in force. A leader counted an
-   * entry of an older term as committed, though a replica with a newer last term could still be
-   * elected and replace it.
+   * Guards against reverting an accepted version: a leader commits an entry of an older term by
+   * counting replicas, although a replica with a newer last term could still be elected and replace
+   * the entry.
    */
   it('should not commit an entry of an older term by count', () => {
     const state = makeReplica({
@@ -98,8 +98,8 @@
   });
 
   /*
-   * A manifest was acknowledged and is gone after a power loss at two of three VMs. The leader
-   * counted its own copy before its disk had synced it.
+   * Guards against losing an acknowledged manifest when two of three VMs lose power: the leader
+   * counted its own copy before it was synced to disk.
    */
   it('should not count its own copy before it is synced', () => {
     const state = makeReplica();
@@ -113,15 +113,16 @@
   });
 
   /*
-   * Entries serve an old version while a newer one is accepted. A replica acknowledged the leader,
-   * restarted within the lease that rests on it, and helped another to power at once.
+   * Guards against entries that serve an old version while a newer one is accepted: a replica
+   * acknowledges the leader, restarts within the leader lease, and votes for another replica at
+   * once.
    */
-  it('should help no other to power for one election time after a restart', () => {
+  it('should grant no vote for one election timeout after a restart', () => {
     const restarted = makeReplica(empty, LATER);
     const vote = (now: number) => findReply(
       deliver(restarted, { kind: 'vote', from: 'c2', term: 5 }, now),
     )?.granted;
-    const { electionTimeoutMs: electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
+    const { electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
     expect(vote(LATER + electionTimeoutMs - 1)).toBe(false);
     expect(vote(LATER + electionTimeoutMs + 1)).toBe(true);
   });
--- a/tests/core/log-model.spec.ts
+++ b/tests/core/log-model.spec.ts
@@ -48,11 +48,10 @@
 
 describe('the replicated log', () => {
   /*
-   * An operator's manifest was accepted and is gone after an incident, or two replicas each say
-   * that they lead. Messages are lost, doubled, delayed and reordered, and replicas crash with the
-   * loss of what was not synced, at any moment.
+   * Guards against losing accepted manifests and against two concurrent leaders. Messages are lost,
+   * duplicated, delayed and reordered, and replicas crash at any time and lose unsynced data.
    */
-  it('should keep one history, one leader a term and one lease, whatever is lost', () => {
+  it('should keep one history, one leader per term and one lease despite lost messages and data', () => {
     let applied = 0;
     const runs = runSearch(fc.property(
       fc.constantFrom(3, 5),
--- a/tests/core/manifest-delta.spec.ts
+++ b/tests/core/manifest-delta.spec.ts
@@ -13,7 +13,7 @@
 }) as unknown as fc.Arbitrary<Manifest>;
 
 describe('changes of a manifest', () => {
-  it('should lead from any manifest to any other, and leave the first as it was', () => {
+  it('should transform any manifest into any other and leave the first unchanged', () => {
     fc.assert(fc.property(manifest, manifest, (from, to) => {
       const before = computeDigest(from);
       const result = applyChanges(from, diffManifests(from, to));
@@ -22,9 +22,9 @@
   });
 
   /*
-   * A pipeline adds thousands of client accounts at once, and every entry VM stops answering for
-   * half a minute: each change copied the whole section. Eight times as many changes may take
-   * about eight times as long, and not sixty-four times; the ratio is taken in one run.
+   * Guards against quadratic time: each change copied the whole section, so adding thousands of
+   * client accounts at once blocked every entry VM for half a minute. Eight times as many changes
+   * should take about eight times as long, not sixty-four times. Both are measured in the same run.
    */
   it('should take time in proportion to the changes', () => {
     const makeChanges = (count: number) => Array.from({ length: count }, (unused, position) => ({
--- a/tests/core/orders.spec.ts
+++ b/tests/core/orders.spec.ts
@@ -37,10 +37,11 @@
 
 describe('orders to backend servers', () => {
   /*
-   * A new model version reaches all engines at once and callers find nobody who carries the model.
-   * One at a time may be out of work, and the next follows only when it is back.
+   * Guards against updating all engines to a new model version at the same time, which leaves no
+   * engine that serves the model. Only one engine at a time may be out of service, and the next
+   * follows when it is back.
    */
-  it('should roll through a pool and never take the last ready worker', () => {
+  it('should roll out to a pool and never drain the last ready worker', () => {
     const tables = makePool();
     announceWithOrders(tables, 'g1', 0);
     expect([tick(tables, 10), tick(tables, 20)]).toEqual([[], []]);
@@ -53,10 +54,11 @@
   });
 
   /*
-   * A guest's answer breaks off, as its engine was ordered to load another version. The engine must
-   * get nothing new first, and the order only when all that runs there has ended, ours or not.
+   * Guards against interrupting running answers by an order to load another version. The engine
+   * must receive no new requests first, and the order only when all requests on it have ended,
+   * including those of other systems.
    */
-  it('should order only a worker on which nothing runs any more', () => {
+  it('should send an order only to an idle worker', () => {
     const tables = makePool();
     announceWithOrders(tables, 'g1', 0, '', { hardware: 'fast' });
     ask(tables, 'long', 'history', 10);
@@ -74,10 +76,10 @@
   });
 
   /*
-   * The other engine dies while this one is being emptied for an order. Every request then waits
-   * for nobody; this one must go back to work at once.
+   * Guards against waiting requests without any serving engine: the other engine fails while this
+   * one is draining for an order. This one must return to service at once.
    */
-  it('should put a worker back when it became the last one of its model', () => {
+  it('should return a worker to service when it became the last one of its model', () => {
     const tables = makePool();
     announceWithOrders(tables, 'g1', 0);
     ask(tables, 'long', 'history', 10);
@@ -90,10 +92,11 @@
   });
 
   /*
-   * Two owners order one engine, the older one last, and it carries what nobody wants any more. An
-   * engine that ignores the fencing number is left alone until the older owner's orders are over.
+   * Guards against an order of an earlier owner that arrives after one of the new owner, so that
+   * the engine loads an outdated state. Engines that ignore the fencing number receive no order
+   * until orders of the earlier owner can no longer arrive.
    */
-  it('should wait out the owner before, where engines ignore the fencing number', () => {
+  it('should wait for the orders of the earlier owner when engines ignore the fencing number', () => {
     const [fenced, unfenced] = [makePool(5_000), makePool(5_000, false)];
     [fenced, unfenced].forEach((tables) => ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 4_000)));
     const order = (tables: ScheduleTables, now: number) => (
@@ -106,10 +109,11 @@
   });
 
   /*
-   * An owner that lost its pool has not heard of it. The engine has seen a higher number and says
-   * so; nothing more may be ordered until a view names this owner again.
+   * Guards against orders of an owner that lost its pool without noticing: the engine has seen a
+   * higher fencing number and reports it. No more orders may be sent until a new view confirms this
+   * owner.
    */
-  it('should order nothing more once a server has seen a higher fencing number', () => {
+  it('should send no more orders once a server has seen a higher fencing number', () => {
     const tables = makePool();
     ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 0));
     tick(tables, 10);
@@ -124,11 +128,11 @@
   });
 
   /*
-   * The answer to an order and the order itself may be lost, and an engine may start anew with
-   * nothing loaded. The order is repeated until the engine says that it carries the state; a new
-   * load waits until the weight store bears it.
+   * An order or its answer may be lost, and an engine may restart without any model loaded. The
+   * order is repeated until the engine reports the desired state. A new load waits until the limit
+   * of the weight store allows it.
    */
-  it('should repeat what was lost and keep to the limit of the weight store', () => {
+  it('should repeat lost orders and respect the limit of the weight store', () => {
     const tables = makePool();
     ['g1', 'g2'].forEach((id) => announceWithOrders(tables, id, 0));
     tick(tables, 10);
--- a/tests/core/replica-plan.spec.ts
+++ b/tests/core/replica-plan.spec.ts
@@ -18,13 +18,13 @@
   ...fields,
 });
 
-/** Applies plans until none is due; all learners catch up at once. */
+/** Applies plans until no change is needed; all learners catch up immediately. */
 const settle = (start: ReplicaPlanInput): ReplicaSet => {
   const caughtUp = new Set(start.newcomers.map(({ id }) => id));
   const run = (current: ReplicaPlanInput, left: number): ReplicaSet => {
     const next = planReplicas(current);
     if (!next) return current.replicas;
-    if (left === 0) throw new Error('the plan does not come to an end');
+    if (left === 0) throw new Error('the plan still requires changes after 20 steps');
     return run({ ...current, replicas: next, caughtUp }, left - 1);
   };
   return run(start, 20);
@@ -32,14 +32,14 @@
 
 const listIds = (replicas: readonly Replica[]): string => replicas.map(({ id }) => id).sort().join(' ');
 
-describe('the replica set that heals itself', () => {
-  it('should leave a whole site alone', () => {
+describe('the repair of the replica set', () => {
+  it('should change nothing when all replicas are available', () => {
     expect(planReplicas(makeInput({}))).toBeUndefined();
   });
 
-  // A replica loses its disk right after it acknowledged a change and comes back empty at its old
-  // address. Were its old birth kept, it would be a voter that has forgotten its vote.
-  it('should put a new birth in the place of the one that its address had', () => {
+  // A replica loses its disk right after it acknowledged a change, and returns with an empty disk
+  // at the same address. With its earlier identity, it would be a voter that has lost its vote.
+  it('should replace a replica by its new identity at the same address', () => {
     const replacement = makeReplica('c2', 'c');
     const replicas = settle(makeInput({ newcomers: [replacement] }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a b c2', '']);
@@ -51,26 +51,26 @@
     expect(planReplicas(makeInput({ replicas, newcomers: [replacement] }))).toBeUndefined();
   });
 
-  it('should put one at a new address in the place of one that fell silent', () => {
+  it('should replace an unresponsive voter by a replica at a new address', () => {
     const spare = makeReplica('d');
     const replicas = settle(makeInput({ newcomers: [spare], unresponsive: new Set(['b']) }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a c d', '']);
   });
 
-  it('should let one that is not needed stand by', () => {
+  it('should keep a replica that is not needed as a standby', () => {
     const replicas = settle(makeInput({ newcomers: [makeReplica('d')] }));
     expect([listIds(replicas.voters), listIds(replicas.learners)]).toEqual(['a b c', 'd']);
   });
 
-  it('should let go of one that stands by and fell silent', () => {
+  it('should remove an unresponsive standby', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d')], leaving: [] };
     const next = planReplicas(makeInput({ replicas, unresponsive: new Set(['d']) }));
     expect(next?.learners).toEqual([]);
   });
 
-  // Two machines lose power at once, a voter and the one that stands by. Were that one to vote,
-  // three of four would have to answer, and no change would be accepted until it is back.
-  it('should not let one that fell silent vote', () => {
+  // A voter and the standby lose power at the same time. If the standby became a voter, three of
+  // four voters would have to respond, and no change would be accepted until one is back.
+  it('should not promote an unresponsive standby to voter', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d'), makeReplica('e')], leaving: [] };
     const next = planReplicas(makeInput({
       replicas, unresponsive: new Set(['c', 'd']), caughtUp: new Set(['d', 'e']),
@@ -78,8 +78,8 @@
     expect(listIds(next?.voters ?? [])).toBe('a b c e');
   });
 
-  // The one that stands by lost its disk too, and is back under a new birth.
-  it('should not let a birth vote that another one at its address replaces', () => {
+  // The standby has also lost its disk and has returned with a new identity.
+  it('should not promote a replica identity that a newer one at its address replaces', () => {
     const replicas = { voters: [a, b, c], learners: [makeReplica('d')], leaving: [] };
     const start = makeInput({
       replicas, newcomers: [makeReplica('d2', 'd')], unresponsive: new Set(['c']), caughtUp: new Set(['d']),
@@ -89,7 +89,7 @@
     expect([listIds(settled.voters), listIds(settled.learners)]).toEqual(['a b d2', '']);
   });
 
-  it('should retire nobody while there is no successor', () => {
+  it('should remove no voter without a successor', () => {
     expect(planReplicas(makeInput({ unresponsive: new Set(['b', 'c']) }))).toBeUndefined();
   });
 
--- a/tests/core/restart-election.spec.ts
+++ b/tests/core/restart-election.spec.ts
@@ -6,7 +6,7 @@
 
 const voters = ['c0', 'c1', 'c2'].map((id) => ({ id, address: '', zone: '' }));
 const empty = makeEmptyLog({ voters, learners: [], leaving: [] });
-/** Milliseconds that a process needs until its log runs, on a small part of a core. */
+/** Start time of a process until its log runs, on a fraction of a core, in milliseconds. */
 const START_MS = 900;
 const TICK_MS = 25;
 
@@ -16,7 +16,7 @@
 const listMessages = (effects: readonly LogEffect[]): LogMessage[] => effects
   .flatMap((effect) => (effect.kind === 'send' ? [effect.message] : []));
 
-/** Lets ticks pass until a replica sends something; returns when that was. */
+/** Runs ticks until a replica sends a message; returns the time, or Infinity when it sends none. */
 const tickUntilSends = (state: LogState, from: number, until: number): number => {
   const times = Array.from({ length: Math.ceil((until - from) / TICK_MS) }, (unused, step) => (
     from + step * TICK_MS));
@@ -34,9 +34,9 @@
 
 describe('an election after all replicas were restarted', () => {
   /*
-   * All processes of a site were killed. They are back within a second, and callers are refused for
-   * almost half a second more: each replica counted the moment at which its log began to run as a
-   * contact with the leader, though its process had been starting for longer than any lease lasts.
+   * Guards against an unnecessary wait after all processes of a site were killed, during which
+   * callers are refused: each replica counted the start of its log as a leader contact, although
+   * its process had been starting for longer than a lease.
    */
   it('should begin as soon as the log runs, when the start took longer than a lease', () => {
     const state = makeReplica('c1', START_MS);
@@ -46,12 +46,12 @@
   });
 
   /*
-   * A manifest is accepted by a new leader while the old one still grants leases on the version
-   * before. A replica had acknowledged the old leader, was restarted within some milliseconds, and
-   * helped the new one to power at once.
+   * Guards against a new leader that accepts a manifest while the old leader still grants leases on
+   * the previous version: a replica acknowledges the old leader, restarts within milliseconds, and
+   * votes for the new leader at once.
    */
-  it('should wait for a lease that the process before may have acknowledged', () => {
-    const { electionTimeoutMs: electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
+  it('should wait for a lease that the previous process may have acknowledged', () => {
+    const { electionTimeoutMs } = DEFAULT_LOG_TIMINGS;
     const state = makeReplica('c1', 20);
     expect(tickUntilSends(state, 20, 2_000)).toBeGreaterThanOrEqual(electionTimeoutMs);
     expect(askPreVote(makeReplica('c2', 20), 'c1', electionTimeoutMs - 1)).toBe(false);
@@ -59,10 +59,10 @@
   });
 
   /*
-   * The first replica that is back asks for votes while the others are still starting, and nobody
-   * hears it. It waited for a whole silence before it asked again, and so did the site's callers.
+   * Guards against a long outage after a restart: the first replica requests pre-votes while the
+   * others are still starting, and then waited a full election timeout before the next attempt.
    */
-  it('should ask again soon while nobody answers', () => {
+  it('should repeat the pre-vote soon while no replica answers', () => {
     const state = makeReplica('c1', START_MS);
     const first = tickUntilSends(state, START_MS, START_MS + 500);
     const second = tickUntilSends(state, first + TICK_MS, first + 500);
@@ -70,10 +70,11 @@
   });
 
   /*
-   * Two replicas came back in the same moment, granted each other what they asked, and stood for
-   * the same term: each had one vote, and the third had none to give. A whole silence was lost.
+   * Guards against a split vote: two replicas return at the same time, grant each other's pre-vote
+   * and start an election in the same term. No replica gets a majority, and a full election timeout
+   * is lost.
    */
-  it('should let one of two that ask at the same time stand', () => {
+  it('should grant only one of two simultaneous pre-votes', () => {
     const first = makeReplica('c0', START_MS);
     const second = makeReplica('c2', START_MS);
     const at = Math.max(
--- a/tests/core/suspended-leader.spec.ts
+++ b/tests/core/suspended-leader.spec.ts
@@ -12,7 +12,7 @@
 const makeReplicas = (): LogState[] => voters.map(({ id }) => (
   makeLogState(id, makeEmptyLog({ voters, learners: [], leaving: [] }), () => 0.5, 0)));
 
-/** Delivers what a step wants sent, with all disks synced at once, until nothing is left. */
+/** Delivers the messages of a step and all resulting messages; disks sync immediately. */
 const deliver = (replicas: LogState[], from: LogState, effects: LogEffect[], now: number): void => {
   effects.forEach((effect) => {
     if (effect.kind === 'persist') {
@@ -31,10 +31,11 @@
 };
 
 describe('a leader that was suspended', () => {
-  // A leader's machine stands still for four seconds; its monotonic clock does too. Another leader
-  // is elected and accepts a change. When the first wakes, its lease looks valid by its own clock:
-  // it would tell an entry that the older document is in force, keys that were taken away included.
-  it('should hold no lease after a suspension, until a majority acknowledges anew', () => {
+  // Guards against outdated reads: a leader's machine is suspended for four seconds, together with
+  // its monotonic clock, and another leader is elected and accepts a change. After the suspension,
+  // the lease of the first leader looks valid by its own clock, so it would report the older
+  // document, including revoked keys, as in force.
+  it('should hold no lease after a suspension until a majority acknowledges a new round', () => {
     const replicas = makeReplicas();
     const [first, second] = replicas as [LogState, LogState];
     elect(replicas, first, 1_000);
@@ -48,7 +49,7 @@
     expect(holdsLeaderLease(first, 1_200)).toBe(false);
   });
 
-  it('should renew its lease by the next round when nobody else was elected', () => {
+  it('should renew its lease with the next round when no other leader was elected', () => {
     const replicas = makeReplicas();
     const [first] = replicas as [LogState];
     elect(replicas, first, 1_000);
@@ -57,7 +58,7 @@
     expect(holdsLeaderLease(first, 1_030)).toBe(true);
   });
 
-  it('should prove its leadership for a read by a round, and fail to when it was replaced', () => {
+  it('should confirm its leadership for a read with a round, unless it was replaced', () => {
     const replicas = makeReplicas();
     const [first, second] = replicas as [LogState, LogState];
     elect(replicas, first, 1_000);
@@ -70,13 +71,13 @@
   });
 });
 
-describe('the watch for suspensions', () => {
+describe('the detection of suspensions', () => {
   const makeWatch = () => {
     const times = { monotonic: 0, wall: 1_000_000 };
     return { times, watch: new SuspensionWatch({ now: () => times.monotonic }, () => times.wall) };
   };
 
-  it('should notice that the time of day went on without the monotonic clock', () => {
+  it('should detect that the wall clock advanced without the monotonic clock', () => {
     const { times, watch } = makeWatch();
     const before = watch.readEpoch();
     times.monotonic += 50;
@@ -84,7 +85,7 @@
     expect(watch.readEpoch()).not.toBe(before);
   });
 
-  it('should notice nothing while both go on alike', () => {
+  it('should detect nothing while both clocks advance equally', () => {
     const { times, watch } = makeWatch();
     const before = watch.readEpoch();
     Array.from({ length: 1_000 }).forEach(() => {
@@ -94,7 +95,7 @@
     expect(watch.readEpoch()).toBe(before);
   });
 
-  it('should take a time of day that was set back for a suspension, once', () => {
+  it('should treat a wall clock that was set back as a suspension, once', () => {
     const { times, watch } = makeWatch();
     const before = watch.readEpoch();
     times.wall -= 2_400;
--- a/tests/core/worker-reach.spec.ts
+++ b/tests/core/worker-reach.spec.ts
@@ -11,10 +11,10 @@
 
 describe('a backend server that leaves', () => {
   /*
-   * An engine that shuts down is given new requests and cuts them off. It told one entry VM that it
-   * leaves; what it told another one just before came to the owner later.
+   * Guards against new requests to an engine that is shutting down: it announced to one entry VM
+   * that it is leaving, but an earlier announcement to another entry reached the owner afterwards.
    */
-  it('should not be taken for ready by an announcement that was overtaken', () => {
+  it('should not become ready through a reordered announcement', () => {
     const tables = makeTables();
     announce(tables, 'g1', 4, 0, { incarnation: 'first' });
     announce(tables, 'g1', 4, 100, { incarnation: 'first', state: 'leaving' });
@@ -23,7 +23,7 @@
     expect(listKinds(announce(tables, 'g1', 4, 200, { incarnation: 'second' }))).toEqual(['grant a']);
   });
 
-  it('should be ready again when it goes on saying so', () => {
+  it('should become ready again when it keeps announcing it', () => {
     const tables = makeTables();
     announce(tables, 'g1', 4, 0, { state: 'leaving' });
     ask(tables, 'a', 'history', 0, { deadlineMs: 10_000 });
@@ -34,11 +34,11 @@
 
 describe('a backend server that cannot be reached', () => {
   /*
-   * Callers read "not run" though an engine is there: its path is broken, but its announcements
-   * come, and each of them brought it all that waited. It must stay alone for the pause, then get
-   * one probe, and its full load once that arrived.
+   * Guards against requests that fail as "not run" because every announcement of an unreachable
+   * engine assigned it all waiting requests. It must receive no requests during the pause, then one
+   * probe, and its full load once the probe has arrived.
    */
-  it('should get one probe after a pause, whatever it announces', () => {
+  it('should get one probe after a pause, regardless of its announcements', () => {
     const tables = makeTables();
     announce(tables, 'g1', 4, 0);
     expect(listKinds(ask(tables, 'a', 'door', 0))).toEqual(['grant a']);
@@ -51,8 +51,8 @@
   });
 
   /*
-   * A server stays out of reach for long. Each probe costs a request an attempt, so the pauses
-   * double; failures of grants that left together count as one.
+   * Each probe of an unreachable server costs a request one attempt, so the pauses double. Failures
+   * of grants that were in flight at the same time count as one.
    */
   it('should be probed less and less often', () => {
     const tables = makeTables();
@@ -68,10 +68,10 @@
   });
 
   /*
-   * The other server is busy when the pause ends. The request that already failed here must not
-   * lose its next attempt here too; one that has not may be the probe.
+   * The other server is busy when the pause ends. A request that already failed at this server must
+   * not spend its next attempt here; a request that has not may be the probe.
    */
-  it('should not be tried twice by a request while another server carries its target', () => {
+  it('should not be tried twice by a request while another server serves its target', () => {
     const tables = makeTables();
     announce(tables, 'g1', 4, 0);
     ask(tables, 'a', 'history', 0);
@@ -86,10 +86,10 @@
   });
 
   /*
-   * The engine was started anew at a place that works. It must not wait for the end of a pause
-   * that its earlier start earned.
+   * The engine was restarted at a reachable address. It must not wait for the end of the pause that
+   * its earlier incarnation caused.
    */
-  it('should be probed at once when it was started anew', () => {
+  it('should be probed immediately after a restart', () => {
     const tables = makeTables();
     announce(tables, 'g1', 4, 0, { incarnation: 'first' });
     ask(tables, 'a', 'door', 0);
