--- a/src/core/schedule/chooseWorker.ts
+++ b/src/core/schedule/chooseWorker.ts
@@ -102,7 +102,7 @@
 };
 
 /**
- * Chooses a worker for a request, or none when no slot is free.
+ * Chooses a worker for a request; undefined when no suitable worker has a free slot.
  *
  * @example
  * const choice = chooseWorker(tables, waiting);
--- a/tests/core/restart-election.spec.ts
+++ b/tests/core/restart-election.spec.ts
@@ -60,7 +60,7 @@
 
   /*
    * Guards against a long outage after a restart: the first replica requests pre-votes while the
-   * others are still starting, and then waited a full election timeout before the next attempt.
+   * others are still starting, and then waits a full election timeout before the next attempt.
    */
   it('should repeat the pre-vote soon while no replica answers', () => {
     const state = makeReplica('c1', START_MS);
