--- a/src/core/log/logState.ts
+++ b/src/core/log/logState.ts
@@ -44,7 +44,7 @@
  * Finds the replica set in force: the newest one in the log, whether committed or not.
  *
  * @example
- * state.replicas = findReplicas(state);
+ * state.replicas = findReplicaSet(state);
  */
 export const findReplicaSet = (state: Pick<LogState, 'entries' | 'snapshot'>): ReplicaSet => {
   const entry = state.entries.findLast(
