--- a/src/control/announcementService.ts
+++ b/src/control/announcementService.ts
@@ -8,12 +8,12 @@
 import type { WorkMeter } from './workMeter';
 
 /**
- * How long an announcement waits for an election that is under way, in milliseconds: it still has
- * to reach the leader within its second.
+ * How long an announcement waits for an election in progress, in milliseconds. It must still reach
+ * the leader within the second that a backend server waits for an acknowledgement.
  */
 const LEADER_WAIT_MS = 250;
 
-/** What the desk needs. */
+/** Dependencies of the announcement service. */
 export interface AnnouncementServiceParts {
   readonly gate: Pick<AnnouncementValidator, 'check'>;
   readonly registry: Pick<WorkerRegistry, 'take'>;
@@ -25,20 +25,20 @@
 }
 
 /**
- * Where backend servers announce themselves: taken in by the leader, forwarded by the others.
+ * Receives the announcements of backend servers: the leader applies them, followers forward them.
  *
  * @example
- * const { taken } = await desk.announce(said, false);
+ * const { taken } = await announcementService.announce(announcement, false);
  */
 export class AnnouncementService {
   constructor(private readonly parts: AnnouncementServiceParts) {}
 
   /**
-   * Takes in what a backend server said of itself; false when no leader could be told. Throws for
-   * what no server of this site says.
+   * Applies or forwards an announcement; `taken` is false if no leader received it. Throws if no
+   * server of this site can send the announcement.
    *
-   * Guards a replica whose lease has lapsed, and two that take each other for the leader: neither
-   * forwards to itself, nor what was forwarded to it.
+   * To prevent loops, a replica never forwards to itself, even if its lease has lapsed, and never
+   * forwards what was forwarded to it, as two replicas may each take the other for the leader.
    */
   async announce(announcement: WorkerAnnouncement, isForwarded: boolean): Promise<AnnounceReply> {
     const {
--- a/src/control/announcementValidator.ts
+++ b/src/control/announcementValidator.ts
@@ -6,7 +6,7 @@
 import type { WorkerAnnouncement } from '../protocol/generated/beechlift';
 import type { Logger } from '../telemetry/logger';
 
-/** What the gate needs. */
+/** Dependencies of the validator. */
 export interface AnnouncementValidatorParts {
   readonly readSite: () => SiteDocument;
   readonly readTable: () => WorkerTable;
@@ -15,37 +15,37 @@
 }
 
 /**
- * Keeps out announcements that no backend server of this site sends.
+ * Rejects announcements that no backend server of this site sends.
  *
- * Guards good servers against another writer: an announcement for a service that is not routed
- * would otherwise take over the address of a server that works, which would then be taken for gone.
+ * An announcement for a service without a route could otherwise claim the address of a working
+ * server, which would then count as gone.
  *
  * @example
- * gate.check(said); // throws 'unknownService'
+ * validator.check(announcement); // throws 'unknownService'
  */
 export class AnnouncementValidator {
-  /** Announcements that were refused since the start, by code. */
+  /** Counts of refused announcements since the start, by code. */
   readonly refusalCounts = new Map<ResultCode, number>();
 
-  /** Services of the document that was last looked at, and its digest. */
+  /** Services of the last checked document; `digest` is the digest of that document. */
   private services: ReadonlySet<string> = new Set();
 
   private digest = '';
 
   constructor(private readonly parts: AnnouncementValidatorParts) {}
 
-  /** Throws for a service that the document in force does not route, but for a server's own. */
+  /** Throws for a service without a route, unless the server is already registered for it. */
   check(announcement: WorkerAnnouncement): void {
     const { readSite, readTable } = this.parts;
     const site = readSite();
-    // Before the first document no service is known, and servers announce themselves already.
+    // Servers already announce themselves before the first document, when no service is known.
     if (announcement.state === 'gone' || site.version === 0) return;
     if (readTable().workers.get(announcement.workerId)?.said.service === announcement.service) return;
     if (this.listServices(site).has(announcement.service)) return;
-    throw new BeechliftError('unknownService', `document ${site.version} routes to no service "${announcement.service.slice(0, 128)}"`);
+    throw new BeechliftError('unknownService', `document ${site.version} has no route to service "${announcement.service.slice(0, 128)}"`);
   }
 
-  /** Counts an announcement that was refused, and says why. */
+  /** Counts a refused announcement, and logs the reason. */
   countRefusal(thrown: unknown, workerId: string): void {
     const error = toBeechliftError(thrown);
     const count = (this.refusalCounts.get(error.code) ?? 0) + 1;
--- a/src/control/claimHolder.ts
+++ b/src/control/claimHolder.ts
@@ -36,8 +36,8 @@
 });
 
 /**
- * Holds claims for entry VMs. Every promise and every accepted value is synced before it is
- * answered, so a holder that restarts votes at once and has forgotten nothing.
+ * Holds claims for entry VMs. Every promise and every accepted value is synced before the reply, so
+ * a holder that restarts has lost nothing and can vote at once.
  *
  * @example
  * const holder = new ClaimHolder(store, () => site.holders, systemClock);
@@ -50,7 +50,7 @@
     private readonly store: ClaimStore,
     private readonly readHolders: () => Pick<HolderSet, 'number'>,
     private readonly clock: Clock,
-    /** Called when the disk failed: the process must end, and vote for nothing more. */
+    /** Called when the disk fails: the process must end and cast no more votes. */
     private readonly failStorage: (error: unknown) => void = () => undefined,
     public bounds: ClaimBounds = DEFAULT_CLAIM_BOUNDS,
   ) {}
@@ -62,7 +62,7 @@
     records.forEach((record) => mergeClaim(this.table, record, now));
   }
 
-  /** First round of a claim. */
+  /** Handles the first round of a claim. */
   async prepare(request: PrepareClaimRequest): Promise<ClaimReply> {
     if (!this.isCurrent(request.holderSet)) return makeSetMovedReply();
     const ballot = request.ballot ?? ZERO_BALLOT;
@@ -71,7 +71,7 @@
     );
   }
 
-  /** Second round of a claim. */
+  /** Handles the second round of a claim. */
   async accept(request: AcceptClaimRequest): Promise<ClaimReply> {
     if (!this.isCurrent(request.holderSet) || !request.value) return makeSetMovedReply();
     const ballot = request.ballot ?? ZERO_BALLOT;
@@ -81,7 +81,8 @@
   }
 
   /**
-   * Hands claims to a holder that is new; only once this one refuses requests of the set before.
+   * Returns a batch of claims to a new holder, but only once this holder refuses requests of the
+   * previous set.
    */
   copy(request: CopyClaimsRequest): CopyClaimsReply {
     if (this.readHolders().number < request.holderSet) {
@@ -95,7 +96,7 @@
     return { claims, lastKey: batch.at(-1) ?? '', code: 0 };
   }
 
-  /** Takes over claims that another holder handed on. */
+  /** Merges and stores claims of another holder. */
   async merge(records: readonly ClaimRecord[]): Promise<void> {
     const now = this.clock.now();
     await Promise.all(records.map((record) => {
@@ -108,7 +109,7 @@
     }));
   }
 
-  /** Forgets what is past its retention, and rewrites the file when most of it is stale. */
+  /** Removes claims past their retention, and rewrites the file when most of it is stale. */
   async expire(): Promise<void> {
     expireClaims(this.table, this.bounds, this.clock.now());
     if (this.store.needsCompaction) await this.store.compact(() => listClaimRecords(this.table));
@@ -120,8 +121,8 @@
   }
 
   /*
-   * Guards a replacement of holders: a request under an older set could reach a majority of holders
-   * that the newer set does not meet, so a holder that knows the newer set refuses it.
+   * While holders are replaced, a request under the old set could reach a majority that does not
+   * overlap with the new set. So a holder that has the new set refuses such a request.
    */
   private isCurrent(holderSet: number): boolean {
     return holderSet === this.readHolders().number;
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -32,7 +32,7 @@
 
 const PROPOSE_TIMEOUT_MS = 4_000;
 
-/** How a control node reaches the others. */
+/** Calls to the other replicas, and the report of a disk failure. */
 export interface ControlPort {
   readonly sendMessage: (message: LogMessage, address: string) => void;
   readonly forwardSubmit: (
@@ -62,8 +62,8 @@
 });
 
 /**
- * One control replica: the replicated state of the site, and what a leader does with it. It knows
- * nothing of the wire.
+ * One control replica: the replicated state of the site and the tasks of a leader. It is
+ * independent of the transport.
  *
  * @example
  * const node = new ControlNode(settings, stored, store, port, systemClock, logger);
@@ -101,23 +101,23 @@
     }, clock);
   }
 
-  /** Address of the leader as this replica knows it; empty when there is none. */
+  /** Address of the leader; empty if this replica knows none. */
   get leaderAddress(): string {
     return this.findReplica(this.runner.state.leaderId)?.address ?? '';
   }
 
-  /** The claim holders that are in force. */
+  /** The current claim holders. */
   get holders(): HolderSet {
     const { number, current, previous } = this.site.holders;
     return { number, current: [...current], previous: [...previous] };
   }
 
-  /** Replicas that vote, as this one knows it. */
+  /** Lists the ids of the voters in the log of this replica. */
   listVoterIds(): string[] {
     return this.runner.state.replicas.voters.map(({ id }) => id);
   }
 
-  /** Runs the log and, on a leader, the systems that keep the site in order. */
+  /** Runs the timers of the log and, on a leader, the periodic tasks of the site. */
   tick(): void {
     this.runner.handle({ kind: 'tick' });
     if (!this.runner.holdsLease || this.isProposing) return;
@@ -128,7 +128,7 @@
     else this.continueReplacement();
   }
 
-  /** Answers an entry: a lease, and what it lacks of the configuration. */
+  /** Answers a heartbeat of an entry with a lease and the configuration changes it lacks. */
   handleHeartbeat(request: HeartbeatRequest): HeartbeatReply {
     if (!this.runner.holdsLease) return this.buildNotLeadingReply();
     if (request.member) {
@@ -137,7 +137,7 @@
     return this.buildHeartbeatReply(request);
   }
 
-  /** Checks and submits a manifest; on any replica but the leader it is forwarded. */
+  /** Validates and submits a manifest; a follower forwards it to the leader. */
   async submit(request: SubmitRequest): Promise<SubmitReply> {
     const operation = new Operation({
       timeoutMs: Math.min(request.deadlineMs || PROPOSE_TIMEOUT_MS, PROPOSE_TIMEOUT_MS),
@@ -152,7 +152,7 @@
       kind: 'manifest', digest, manifest,
     };
     const result = await this.runner.propose(JSON.stringify(command), operation);
-    if (!result) throw new BeechliftError('noQuorum', 'the log gave no result');
+    if (!result) throw new BeechliftError('noQuorum', 'the log returned no result');
     this.logger.info(
       'manifest submitted',
       { version: result.version, digest: result.digest, result: result.code },
@@ -160,7 +160,7 @@
     return toSubmitReply(result);
   }
 
-  /** Tells what is in force, and, on the leader, where. */
+  /** Reads the state of this replica and, on the leader, the members with their versions. */
   readStatus(operatorKey: string): StatusReply {
     this.requireOperator(operatorKey);
     const { state } = this.runner;
@@ -184,7 +184,7 @@
     };
   }
 
-  /** Begins to replace a replica; the rest follows by itself. */
+  /** Starts to replace a replica; the remaining steps run automatically. */
   changeReplicas(request: ChangeReplicasRequest): SubmitReply {
     this.requireOperator(request.operatorKey);
     const next = startReplacement(this.runner.state.replicas, request.removeId, request.add);
@@ -192,14 +192,14 @@
       && next !== undefined
       && this.runner.changeReplicas(next);
     if (!isStarted) {
-      throw new BeechliftError('replicaChangeRefused', 'this replica does not lead, a change is in progress, or the names do not fit');
+      throw new BeechliftError('replicaChangeRefused', 'this replica does not lead, another change is in progress, or the replica ids do not fit this change');
     }
     return {
       code: 0, message: 'started', version: 0, digest: '', faults: [],
     };
   }
 
-  /** Notes that a new claim holder has copied what it must. */
+  /** Records that a new claim holder has copied the claims of a holder set. */
   recordCopiedSet(request: ReportCopiedRequest): void {
     this.copiedSet = Math.max(this.copiedSet, request.holderSet);
   }
@@ -265,7 +265,7 @@
     const address = this.leaderAddress;
     const ownAddress = this.settings.address;
     if (request.forwarded || address === '' || address === ownAddress) {
-      throw new BeechliftError('noQuorum', `replica "${this.settings.id}" knows no leader that holds its lease`);
+      throw new BeechliftError('noQuorum', `replica "${this.settings.id}" knows no leader with a valid lease`);
     }
     return this.port.forwardSubmit({ ...request, forwarded: true }, address, operation);
   }
--- a/src/control/controlProcess.ts
+++ b/src/control/controlProcess.ts
@@ -24,7 +24,7 @@
 const SLOW_TICK_MS = 500;
 const STEP_TIMEOUT_MS = 1_000;
 
-/** A control process that runs. */
+/** A running control process. */
 export interface RunningControl {
   readonly node: ControlNode;
   readonly holder: ClaimHolder;
@@ -32,11 +32,11 @@
   readonly stop: () => Promise<void>;
 }
 
-/** What a control process needs from outside. */
+/** Dependencies of a control process. */
 export interface ControlParts {
   readonly settings: ControlSettings;
   readonly logger: Logger;
-  /** Called when the disk failed: the process must end, and vote for nothing more. */
+  /** Called when the disk fails: the process must end and cast no more votes. */
   readonly failStorage: (error: unknown) => void;
 }
 
@@ -45,7 +45,7 @@
     (stub) => stub.step.bind(stub) as never,
     message,
     new Operation({ timeoutMs: STEP_TIMEOUT_MS }),
-  ).catch(() => undefined); // The log repeats what was lost.
+  ).catch(() => undefined); // The log resends lost messages.
 };
 
 const forwardSubmit = (
@@ -145,7 +145,7 @@
   }, holder, links, logger);
   service = makeControlService(started, holder);
   const stopTimers = startTimers(started, holder, copier, parts.failStorage);
-  logger.info('control serves', { address });
+  logger.info('control replica is listening', { address });
   return {
     node: started,
     holder,
--- a/src/control/controlService.ts
+++ b/src/control/controlService.ts
@@ -5,11 +5,11 @@
 import type { ClaimHolder } from './claimHolder';
 import type { ControlNode } from './controlNode';
 
-/** The service of a replica whose log runs. */
+/** gRPC handlers of a replica whose log runs. */
 export type StartedService = Omit<ControlServer, 'readFounding'>;
 
 /**
- * The wire side of a control replica: turns messages into calls and nothing more.
+ * Makes the gRPC handlers of a control replica; they only pass requests to the node or the holder.
  *
  * @example
  * server.add(ControlService, makeControlService(node, holder));
@@ -40,8 +40,8 @@
 ] as const;
 
 /**
- * The same service while the replica still finds out whether it may begin: others can ask about
- * that, and everything else is refused until the log runs.
+ * Makes gRPC handlers that also serve before the log runs: other replicas can read the founding
+ * state, and all other calls are refused until `findService` returns the handlers of the replica.
  *
  * @example
  * server.add(ControlService, makeWaitingService(() => service, () => founding.read(voters)));
@@ -51,7 +51,7 @@
   readFounding: () => FoundingReply,
 ): ControlServer => {
   const refuse = handleUnary<unknown, never>(() => {
-    throw new BeechliftError('noQuorum', 'this replica has not begun yet');
+    throw new BeechliftError('noQuorum', 'this replica has not started yet');
   });
   const relayCall = (method: (typeof METHODS)[number]) => (
     call: ServerUnaryCall<unknown, unknown>,
--- a/src/control/documentCommand.ts
+++ b/src/control/documentCommand.ts
@@ -1,7 +1,7 @@
 import type { DocumentCommand } from '../core/routing/siteDocument';
 import { packLarge, unpackText } from '../utils/packedText';
 
-/** A command as it stands in the log: with the document itself, or packed, in base64. */
+/** A command in the log: with the plain document, or with the packed document in base64. */
 interface StoredCommand {
   readonly version: number;
   readonly document?: string;
@@ -9,12 +9,12 @@
 }
 
 /**
- * Encodes a command for the log.
+ * Encodes a command for the log; large documents are packed.
  *
- * Guards the leader against documents of many routes. The log repeats to each replica what it has
- * not acknowledged yet, with each heartbeat. That filled the leader's processor; the others missed
- * it and elected another, which did the same, and the change was accepted by none. Packed, a
- * document has a tenth of its size.
+ * The log resends unacknowledged entries to each replica with each heartbeat. With plain documents
+ * of many routes this saturated the leader's CPU and delayed its heartbeats; the other replicas
+ * elected a new leader, which failed in the same way, and the change was never accepted. Packing
+ * reduces a document to a tenth of its size.
  *
  * @example
  * runner.propose(encodeCommand({ version: 7, document }), operation);
@@ -25,7 +25,7 @@
   return JSON.stringify(stored);
 };
 
-/** Decodes a command of the log; throws for one that cannot be unpacked. */
+/** Decodes a command of the log; throws if its document cannot be unpacked. */
 export const decodeCommand = (text: string): DocumentCommand => {
   const { version, document, packed } = JSON.parse(text) as StoredCommand;
   return { version, document: document ?? unpackText(Buffer.from(packed ?? '', 'base64')) };
--- a/src/control/documentPacker.ts
+++ b/src/control/documentPacker.ts
@@ -2,20 +2,20 @@
 import type { WatchReply } from '../protocol/generated/beechlift';
 import { packLarge } from '../utils/packedText';
 
-/** The part of a reply that brings the document, as it is or packed. */
+/** Fields of a watch reply that carry the document, plain or packed. */
 export type DocumentPart = Pick<WatchReply, 'document' | 'packedDocument'>;
 
 const NOTHING = Buffer.alloc(0);
 
-/** What brings no document. */
+/** Fields of a watch reply without a document. */
 export const NO_DOCUMENT_PART: DocumentPart = { document: '', packedDocument: NOTHING };
 
 /**
- * Packs the document in force, once for all entries.
+ * Packs the current document, once for all entries.
  *
- * Guards changes that add many routes: as text, a document of 1,800 routes takes 0.4 s and more of
- * an entry's link of 7 Mbit/s, and an entry gives a question up half a second after it asked; then
- * it asks for all of it again. Packed, it takes under 0.1 s.
+ * As text, a document of 1,800 routes takes at least 0.4 s on a 7 Mbit/s link of an entry. An entry
+ * abandons a watch request after half a second, and would then request the whole document again.
+ * Packed, the transfer takes less than 0.1 s.
  *
  * @example
  * const part = packer.build(site); // the same buffer until the document changes
@@ -25,7 +25,7 @@
 
   private part = NO_DOCUMENT_PART;
 
-  /** The part of a reply that brings a document. */
+  /** Builds the fields of a watch reply that carry a document. */
   build({ digest, document }: SiteDocument): DocumentPart {
     if (this.digest !== digest) {
       const packed = packLarge(document);
--- a/src/control/documentPublisher.ts
+++ b/src/control/documentPublisher.ts
@@ -6,28 +6,27 @@
 import type { LogRunner } from './logRunner';
 import type { RoutedNodeParts } from './routedNodeParts';
 
-/** Most milliseconds that an operator's change may take. */
+/** Time limit for a change of an operator, in milliseconds. */
 const PUBLISH_TIMEOUT_MS = 3_000;
 /**
- * How long a change waits for an election that is under way, in milliseconds: most of the second
- * after which operators ask another replica, which would know no leader either.
+ * How long a change waits for an election in progress, in milliseconds. Operators retry at another
+ * replica after one second, and that replica would not know a leader either.
  */
 const LEADER_WAIT_MS = 600;
 
-/** What a publisher needs. */
+/** Dependencies of a publisher. */
 export interface DocumentPublisherParts extends Pick<RoutedNodeParts, 'readRouting' | 'port' | 'clock' | 'logger'> {
   readonly runner: Pick<LogRunner<true>, 'propose'>;
-  /** Version in force at this replica. */
+  /** Version of the current document of this replica. */
   readonly readVersion: () => number;
-  /** The leader as this replica knows it; empty when there is none. */
+  /** gRPC address of the leader; empty if this replica knows none. */
   readonly readLeaderAddress: () => string;
-  /** Waits until a leader is known, so long at most; tells whether it is this replica. */
+  /** Waits up to `maxMs` until a leader is known; resolves with whether it is this replica. */
   readonly waitLeader: (maxMs: number) => Promise<boolean>;
 }
 
 /**
- * Has a majority accept the documents that operators send; where this replica follows, by way of
- * the leader.
+ * Replicates the documents of operators to a majority; a follower forwards them to the leader.
  *
  * @example
  * const { code } = await publisher.publish({ document, deadlineMs: 3_000, forwarded: false });
@@ -35,7 +34,7 @@
 export class DocumentPublisher {
   constructor(private readonly parts: DocumentPublisherParts) {}
 
-  /** Checks a document and has it accepted; an older one than is in force changes nothing. */
+  /** Validates and replicates a document; a version that is not newer is accepted without effect. */
   async publish(request: PublishRequest): Promise<PublishReply> {
     const { readRouting, logger, readVersion } = this.parts;
     const { routing, faults } = readRouting(request.document);
--- a/src/control/entryLease.ts
+++ b/src/control/entryLease.ts
@@ -1,26 +1,26 @@
-/** What a lease of an entry must keep to. */
+/** Bounds on the lease of an entry. */
 export interface LeaseBounds {
-  /** Milliseconds after its acknowledgement in which a key that was taken away opens nothing. */
+  /** Milliseconds after which an acknowledged key revocation must be effective everywhere. */
   readonly revokeMs: number;
-  /** Milliseconds after its acknowledgement in which any other change is in force everywhere. */
+  /** Milliseconds after which any other acknowledged change must be effective everywhere. */
   readonly applyMs: number;
 }
 
 /**
- * Held back from the bounds, in milliseconds: for clocks that run at unlike rates, and for requests
- * that are admitted in the last moment.
+ * Margins below the bounds, in milliseconds: for clocks that run at different rates, and for
+ * requests that are admitted at the end of a lease.
  */
 const REVOKE_MARGIN_MS = 1_000;
 const APPLY_MARGIN_MS = 200;
 
 /**
- * Computes for how long an entry may serve by what it was told, in milliseconds.
+ * Computes how long an entry may serve after a watch request without a new reply, in milliseconds.
  *
- * Guards against an entry that goes by an older document after a change must be in force: it shows
- * as a route that was added and answers 404, or a request that an older version sends elsewhere.
- * A lease counts from before the question, the question was answered before the change was
- * accepted, and that is before it is acknowledged: so no lease under the document before outlives
- * the bound, whether the leader's answers are late, lost, or the leader is another one by now.
+ * This prevents an entry from using an old document after a change must be effective. Clients would
+ * see 404 for a new route, or a request routed by the old version. A lease starts before its watch
+ * request is sent, the leader answers the request before it accepts the change, and acknowledges
+ * the change after that. So no lease under the old document outlives the bound, even if replies of
+ * the leader are late or lost, or another replica leads by then.
  *
  * @example
  * const leaseMs = computeLeaseMs({ revokeMs: 5_000, applyMs: 2_500 }); // 2_300
--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -5,36 +5,37 @@
 import { computeEntryTimeoutMs } from '../core/routing/messageIntervals';
 import { LoadSums } from './loadSums';
 
-/** What the leader knows of an entry. */
+/** State of one entry on the leader. */
 interface TrackedEntry {
-  /** What it said last, but for its loads. */
+  /** Its last report, without its loads. */
   readonly record: EntryRecord;
   receivedAt: number;
-  /** Whether it was heard of late, so that callers may be sent to it and its loads count. */
+  /** Whether it sent a request recently, so that it accepts callers and its loads count. */
   isResponsive: boolean;
 }
 
-/** Bounds the table. */
+/** Bounds the memory that the table uses. */
 const MAX_ENTRIES = 2_000;
 
-/** Silence after which what an entry holds is given to others, in milliseconds. */
+/** Time without a request after which the slots of an entry are freed, in milliseconds. */
 export const ENTRY_TIMEOUT_MS = 2_000;
 
-/** How often silent entries are looked for, in milliseconds: a small part of the silence. */
+/** Interval of the check for unresponsive entries, in milliseconds: small against the timeout. */
 const EXPIRE_MS = 25;
 
 const isSame = (a: EntryRecord, b: EntryRecord): boolean => (
   a.state === b.state && a.callerAddress === b.callerAddress && a.zone === b.zone);
 
 /**
- * Entries as the leader hears them. Not replicated: a new leader hears them anew.
+ * Entries that send watch requests to the leader. The table is not replicated: a new leader builds
+ * its own from the requests it receives.
  *
- * What all of them add up to is kept up as they are heard, so that an answer to one costs the same
- * beside five entries and beside three hundred.
+ * Totals over all entries are updated with each request, so that a reply costs the same for five
+ * entries and for three hundred.
  *
  * @example
- * entries.note(request, clock.now());
- * const { records } = entries.list(clock.now());
+ * entries.record(request, clock.now());
+ * const { records } = entries.listActive(clock.now());
  */
 export class EntryTable {
   private readonly entries = new Map<string, TrackedEntry>();
@@ -49,10 +50,10 @@
 
   private lastExpiryAt = -Infinity;
 
-  /** @param leaseMs an entry that was granted a lease counts for this long, heard or not */
+  /** @param leaseMs how long an entry counts as a lease holder after its last request */
   constructor(private readonly leaseMs: number) {}
 
-  /** Notes that an entry asked. */
+  /** Records a watch request of an entry. */
   record(request: WatchRequest, now: number): void {
     const {
       entryId, callerAddress, zone, state,
@@ -68,26 +69,26 @@
     this.loads.set(entryId, request.loads);
   }
 
-  /** Entries that callers may be sent to, and a number that grows when these change. */
+  /** Lists the entries that accept callers, with a revision that increases when the list changes. */
   listActive(now: number): { readonly records: readonly EntryRecord[]; readonly revision: number } {
     this.expire(now);
     if (this.isListStale) this.buildList();
     return { records: this.activeRecords, revision: this.activeRevision };
   }
 
-  /** Entries that may hold a lease. */
+  /** Counts the entries that may hold a lease. */
   countLeased(now: number): number {
     this.expire(now);
     return this.entries.size;
   }
 
-  /** Whether an entry is there: it was heard of late, and no other process took its place. */
+  /** Whether an entry sent a request recently and was not replaced by another process. */
   has(entryId: string, now: number): boolean {
     const entry = this.entries.get(entryId);
     return entry !== undefined && now - entry.receivedAt <= ENTRY_TIMEOUT_MS;
   }
 
-  /** What all entries but one have at each backend server. */
+  /** Sums the loads of all entries but one at each backend server. */
   sumLoads(exceptId: string, now: number): WorkerLoad[] {
     this.expire(now);
     return this.loads.sum(exceptId);
@@ -103,14 +104,14 @@
     this.activeRevision += 1;
   }
 
-  /** A process that serves the address of another has taken its place. */
+  /** Removes an earlier process that served the same address. */
   private removePredecessor(callerAddress: string): void {
     this.entries.forEach(({ record }, id) => {
       if (record.callerAddress === callerAddress) this.remove(id);
     });
   }
 
-  /** Sets silent entries aside, and forgets those whose lease is over. */
+  /** Marks entries without recent requests, and removes those whose lease is over. */
   private expire(now: number): void {
     if (now - this.lastExpiryAt < EXPIRE_MS) return;
     this.lastExpiryAt = now;
--- a/src/control/founding.ts
+++ b/src/control/founding.ts
@@ -9,30 +9,30 @@
 
 const POLL_MS = 150;
 
-/** What founding needs of a replica. */
+/** Dependencies of founding. */
 export interface FoundingParts {
   readonly id: string;
   readonly replicas: readonly ReplicaSetting[];
   readonly joining: boolean;
   readonly files: FileSystem;
   readonly dataFolder: string;
-  /** Asks another replica what it knows; rejects when it does not answer. */
+  /** Reads the founding state of another replica; rejects if it does not answer. */
   readonly askOther: (address: string) => Promise<FoundingReply>;
 }
 
 const formatBirth = (id: string, birth: string): string => `${id}=${birth}`;
 
 /**
- * Decides whether a replica with an empty data folder may begin.
+ * Decides whether a replica with an empty data folder may start.
  *
- * Guards against a replica that lost its disk and comes back as if it had never voted: with one
- * more that lags it would be a majority which knows nothing of what was accepted. An empty replica
- * begins only together with all the others, each seen empty in the same start; where the site
- * exists already it refuses, and is replaced under a new id.
+ * A replica that lost its disk must not come back as if it had never voted: together with a replica
+ * that lags, it could form a majority without the accepted changes. So an empty replica starts only
+ * if it sees all other replicas empty in the same start. If the site already exists, the replica
+ * refuses to start and must be replaced under a new id.
  *
  * @example
  * const founding = new Founding(parts);
- * await founding.settle();
+ * await founding.waitUntilAllowed();
  */
 export class Founding {
   private readonly birth = randomUUID();
@@ -47,7 +47,7 @@
     this.file = new RecordFile(parts.files, join(parts.dataFolder, 'founding.log'));
   }
 
-  /** What others may know; voters are added by whoever runs the log. */
+  /** Reads the founding state for other replicas; the caller passes the voters of the log. */
   read(voters: readonly string[]): FoundingReply {
     return {
       id: this.parts.id,
@@ -58,7 +58,7 @@
     };
   }
 
-  /** Resolves once this replica may begin; throws when it must not. */
+  /** Resolves once this replica may start; throws if it must not. */
   async waitUntilAllowed(): Promise<void> {
     const [record] = await this.file.open() as { births: string[] }[];
     if (record) {
@@ -90,7 +90,7 @@
     const isUnknownMember = reply.founded && !reply.births.includes(own);
     const isLost = joining ? reply.voters.includes(id) : isUnknownMember;
     if (!isLost) return;
-    throw new BeechliftError('diskLost', `the data folder of replica "${id}" is empty, but replica "${reply.id}" knows a site in which it took part`);
+    throw new BeechliftError('diskLost', `the data folder of replica "${id}" is empty, but replica "${reply.id}" reports an existing site of which it was a member`);
   }
 
   private canStart(replies: readonly FoundingReply[], otherCount: number): boolean {
--- a/src/control/holderCopier.ts
+++ b/src/control/holderCopier.ts
@@ -7,7 +7,7 @@
 
 const COPY_TIMEOUT_MS = 5_000;
 
-/** What the copier reads of its replica. */
+/** State of the replica that the copier reads. */
 export interface CopierContext {
   readonly id: string;
   readonly readHolders: () => HolderSet;
@@ -15,11 +15,11 @@
 }
 
 /**
- * Lets a new claim holder copy what a majority of the holders before it hold, before it is counted
- * alone.
+ * Copies the claims of a majority of the previous holders to a new claim holder, before the new
+ * holder set becomes the only one.
  *
- * Guards against the second loss right after a repair: once the new set stands alone, every claim
- * that the old set agreed on is known to a majority of the new one.
+ * After that, a majority of the new set has every claim that the old set agreed on, so that a
+ * second loss right after a repair loses no claim.
  *
  * @example
  * const copier = new HolderCopier(view, holder, links, logger);
@@ -37,7 +37,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Copies when this replica is new in a set that is not settled yet, and reports it. */
+  /** Copies the claims if this replica is new in a holder set in transition, and reports it. */
   async tick(): Promise<void> {
     const holders = this.context.readHolders();
     if (this.isCopying || !this.isDue(holders)) return;
@@ -46,7 +46,7 @@
       if (this.copiedSet < holders.number) await this.copyFromMajority(holders);
       await this.report(holders);
     } catch (error) {
-      this.logger.warn('claims not copied yet', { reason: (error as Error).message });
+      this.logger.warn('claims could not be copied yet', { reason: (error as Error).message });
     } finally {
       this.isCopying = false;
     }
@@ -61,7 +61,7 @@
       holders.previous.map((replica) => this.copyFrom(replica, holders.number)),
     );
     const copied = results.filter(({ status }) => status === 'fulfilled').length;
-    if (copied <= holders.previous.length / 2) throw new Error(`${copied} of ${holders.previous.length} holders answered`);
+    if (copied <= holders.previous.length / 2) throw new Error(`only ${copied} of ${holders.previous.length} holders answered, a majority is needed`);
     this.copiedSet = holders.number;
     this.logger.info(
       'claims copied',
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -8,24 +8,24 @@
 import type { SuspectRegistry } from './suspectRegistry';
 import type { WorkerRegistry } from './workerRegistry';
 
-/** What a follower is made from. */
+/** Dependencies of a follower. */
 export interface LeaderFollowerParts {
   readonly registry: WorkerRegistry;
   readonly suspects: SuspectRegistry;
   readonly recall: RecoveryWindow;
-  /** What this replica had on its disk when it started. */
+  /** Records that this replica had cached on disk when it started. */
   readonly remembered: readonly WorkerRecord[];
   readonly rememberedSuspects: readonly SuspectRecord[];
 }
 
 /**
- * What a replica that follows takes over from the leader beside the log: the entries, the
- * backend servers, and the suspect requests. A leader that has just started hears in return what
- * this replica remembered of them.
+ * Copies state that is not in the log from the leader: the entries, the backend servers, and the
+ * suspect requests. In return, it reports the cached records of this replica to a leader that has
+ * just started.
  *
  * @example
  * const request = follower.buildRequest(site.digest, 250);
- * follower.take(reply);
+ * follower.applyReply(reply);
  */
 export class LeaderFollower {
   private readonly entries = new EntryList();
@@ -39,12 +39,12 @@
     this.unreportedSuspects = parts.rememberedSuspects;
   }
 
-  /** Entries that callers may be sent to, as the leader told of them. */
+  /** Lists the entries that accept callers, as last received from the leader. */
   listEntries(): readonly EntryRecord[] {
     return this.entries.records;
   }
 
-  /** What the leader is asked with. */
+  /** Builds the watch request to the leader. */
   buildRequest(documentDigest: string, holdMs: number): WatchRequest {
     const { registry, suspects } = this.parts;
     const { epoch, revision } = registry.table;
@@ -60,7 +60,7 @@
     });
   }
 
-  /** Takes in what the leader told. */
+  /** Applies a watch reply of the leader. */
   applyReply(reply: WatchReply): void {
     const { registry, suspects, recall } = this.parts;
     recall.markFollowing();
@@ -70,7 +70,7 @@
     this.removeReported();
   }
 
-  /** Leaves out what the leader knows; all of it once the leader had time to hear it. */
+  /** Drops cached records that the leader has, and all of them when the report time is over. */
   private removeReported(): void {
     const { registry, suspects, recall } = this.parts;
     const { isReporting: isReporting } = recall;
--- a/src/control/leaderState.ts
+++ b/src/control/leaderState.ts
@@ -17,35 +17,35 @@
 import type { PlacementSink } from './placementStream';
 import type { SuspectRegistry } from './suspectRegistry';
 
-/** What a book is made from. */
+/** Dependencies of the leader state. */
 export interface LeaderStateParts {
   readonly clock: Clock;
-  /** How long an entry may rely on what it was told, in milliseconds. */
+  /** Duration of the lease that a reply grants to an entry, in milliseconds. */
   readonly leaseMs: number;
-  /** What accounts may use beyond their limits, over all entries together. */
+  /** What accounts may use beyond their limits, summed over all entries. */
   readonly limitSlack: number;
-  /** Hears which servers ended under which requests; without it none is suspected. */
+  /** Receives reports of crashes; if it is missing, no request is suspected. */
   readonly suspects?: Pick<SuspectRegistry, 'take' | 'findCaution'> | undefined;
-  /** All are on where none are named. */
+  /** Defaults to all mechanisms on. */
   readonly mechanisms?: Mechanisms | undefined;
 }
 
-/** The part of an answer that only entries need. */
+/** Fields of a watch reply that only entries need. */
 export type EntryPart = Pick<WatchReply, 'loads' | 'grants' | 'entryCount'>;
 
-/** Time in which all entries ask a new leader, in milliseconds: two of the questions it holds. */
+/** Time in which all entries reach a new leader, in milliseconds: two held watch requests. */
 const SETTLE_MS = 500;
 
-/** What a reply says of the entries that callers may be sent to. */
+/** Fields of a watch reply that list the entries that accept callers. */
 export type EntryListPart = Pick<WatchReply, 'entries' | 'entriesRevision'>;
 
 /**
- * What a leader keeps for its time: the entries that it hears, what is left of limits, and who
- * holds which slot. None of it is replicated; the next leader begins a book of its own.
+ * State that a leader keeps in memory: the active entries, the remaining account limits, and the
+ * slots in use. None of it is replicated; the next leader starts with an empty state.
  *
  * @example
- * const book = new LeaderBook(parts);
- * book.configureAccounts(routing.accounts);
+ * const leaderState = new LeaderState(parts);
+ * leaderState.configureAccounts(routing.accounts);
  */
 export class LeaderState {
   private readonly entries: EntryTable;
@@ -56,10 +56,10 @@
 
   private readonly streams = new Set<PlacementStream>();
 
-  /** Revision of the table of backend servers that the desk knows. */
+  /** Revision of the server table that the placement service has applied. */
   private appliedRevision = 0;
 
-  /** When its replica began to lead, monotonic milliseconds. */
+  /** When this replica began to lead, in monotonic milliseconds. */
   readonly startedAt: number;
 
   constructor(private readonly parts: LeaderStateParts) {
@@ -74,36 +74,36 @@
     });
   }
 
-  /** Puts the limits of accounts in force. */
+  /** Sets the limits of accounts. */
   configureAccounts(accounts: readonly RoutedAccount[]): void {
     this.ledger.configure(accounts, this.parts.clock.now());
   }
 
-  /** Notes that an entry asked, and what it let through. */
+  /** Records that an entry sent a watch request, and what its accounts spent. */
   recordEntry(request: WatchRequest): void {
     const now = this.parts.clock.now();
     this.entries.record(request, now);
     this.ledger.recordSpends(request.entryId, request.spends, now);
   }
 
-  /** Entries that may hold a lease, which ask here all the time. */
+  /** Counts the entries that may hold a lease. */
   countEntries(): number {
     return this.entries.countLeased(this.parts.clock.now());
   }
 
-  /** Entries that callers may be sent to. */
+  /** Lists the entries that accept callers. */
   listEntries(): readonly EntryRecord[] {
     return this.entries.listActive(this.parts.clock.now()).records;
   }
 
   /**
-   * The entries for an asker that holds a list; none when it holds the same.
+   * Builds the entry list for a client; empty if the client already has the current one.
    *
-   * Guards callers against a leader that has just begun and has heard from few entries: they would
-   * all be sent to these. Who holds the list of the leader before keeps it until all had the time
-   * to ask. The list's own epoch tells whose it is, as two leaders may come to the same revision.
+   * A new leader has heard from few entries, and all callers would be sent to these. So a client
+   * that holds the list of an earlier leader keeps it until all entries had time to send a watch
+   * request. The epoch identifies the leader of a list, as the revisions of two leaders may match.
    *
-   * @param epoch names this leader's tables
+   * @param epoch identifies the tables of this leader
    */
   buildEntryListPart({ entriesEpoch, entriesRevision }: EntryListVersion, epoch: string): EntryListPart {
     const now = this.parts.clock.now();
@@ -115,7 +115,7 @@
     return { entries: isSame ? [] : [...records], entriesRevision: revision };
   }
 
-  /** What an entry is told beside the document and the backend servers. */
+  /** Builds the fields of a reply that only entries need. */
   buildEntryPart({ entryId }: WatchRequest): EntryPart {
     const now = this.parts.clock.now();
     const entryCount = this.countEntries();
@@ -126,19 +126,19 @@
     };
   }
 
-  /** Opens the line to an entry that asks for places, for as long as its stream lasts. */
+  /** Opens the placement stream of an entry. */
   openStream(sink: PlacementSink): PlacementStream {
     const stream = new PlacementStream(sink, this.parts.clock);
     this.streams.add(stream);
     return stream;
   }
 
-  /** Takes in a message of an entry's stream. */
+  /** Handles a message of an entry's placement stream. */
   handleMessage(stream: PlacementStream, message: PlaceNews, workers: WorkerTable): void {
     if (!stream.isOpen) return;
     this.applyWorkerChanges(workers);
     stream.acknowledge(message.number, message.requests.length > 0);
-    // Before the slots that became free are given out anew.
+    // Before free slots are granted again: a crashed request must not get another server.
     this.parts.suspects?.take(message);
     this.placementService.applyReports(message.reports);
     if (message.entryId !== '') {
@@ -148,25 +148,25 @@
     this.placementService.requestSlots(message.requests.filter((request) => this.charge(request, stream)), stream);
   }
 
-  /** Ends the line to an entry. */
+  /** Ends the placement stream of an entry. */
   closeStream(stream: PlacementStream): void {
     this.streams.delete(stream);
     this.placementService.closeStream(stream);
   }
 
-  /** Charges a request to its account; refuses it when the account's limit does not allow it. */
+  /** Charges a request to its account; refuses it if the account is over its limit. */
   private charge(request: PlaceRequest, stream: PlacementStream): boolean {
     const {
       account, cost, rank, placeId,
     } = request;
-    // One that waits already was charged: its entry opened another stream before this one's end.
+    // A waiting request was already charged: its entry repeats it over a second stream.
     if (this.placementService.isWaiting(placeId)) return true;
     const waitMs = this.ledger.charge(account, cost, rank, this.parts.clock.now());
     if (waitMs <= 0) return true;
     stream.add({
       placeId,
       code: resultCodes.accountLimited.number,
-      message: `account "${account}" is beyond its limit`,
+      message: `account "${account}" is over its limit`,
       workerId: '',
       retryAfterMs: Math.ceil(waitMs),
       expectedMs: 0,
@@ -174,12 +174,12 @@
     return false;
   }
 
-  /** Requests that wait for a slot, and those that hold one. */
+  /** Counts the requests that wait for a slot, and those that hold one. */
   countRequests(): { readonly waiting: number; readonly placed: number } {
     return this.placementService.countRequests();
   }
 
-  /** Brings what is kept up to what is known of backend servers and entries. */
+  /** Applies changes of servers and entries, and closes the streams of entries that timed out. */
   refresh(workers: WorkerTable): void {
     const now = this.parts.clock.now();
     this.applyWorkerChanges(workers);
@@ -190,14 +190,14 @@
     this.placementService.tick((entryId) => this.entries.has(entryId, now));
   }
 
-  /** Ends all lines, when another replica leads: the entries ask there. */
+  /** Ends all streams when this replica no longer leads; the entries connect to the new leader. */
   close(): void {
     [...this.streams].forEach((stream) => this.closeStream(stream));
   }
 
   /*
-   * Guards the slots of engines against an entry that lost its power: its connection stays open,
-   * and its requests that wait would be given the slots that become free.
+   * The connection of an entry that lost its power stays open, and free slots would be granted to
+   * its waiting requests. So the stream of an entry that timed out is closed.
    */
   private hasTimedOut({ entryId, silentMs }: PlacementStream, now: number): boolean {
     return entryId !== '' && silentMs > ENTRY_TIMEOUT_MS && !this.entries.has(entryId, now);
--- a/src/control/leaderWait.ts
+++ b/src/control/leaderWait.ts
@@ -1,11 +1,10 @@
 import { HeldCalls } from '../utils/heldCalls';
 
 /**
- * Waits for an election that is under way: after all processes were killed, callers wait for just
- * that.
+ * Waits for an election in progress, for example after all processes were killed.
  *
- * Guards the election against those who wait for it: however many they are, the replica looks once
- * for all of them, when something may have changed.
+ * However many calls wait, the replica checks for a leader once for all of them, when something may
+ * have changed. Otherwise the checks would take CPU time from the election itself.
  *
  * @example
  * await leaderWait.wait(600); // until `leaderWait.check()` finds a leader, 600 ms at most
@@ -13,20 +12,20 @@
 export class LeaderWait {
   private readonly heldCalls = new HeldCalls();
 
-  /** @param isLeaderKnown whether this replica leads or knows who does */
+  /** @param isLeaderKnown whether this replica leads or knows the leader */
   constructor(private readonly isLeaderKnown: () => boolean) {}
 
-  /** Resolves once a leader is known, and after the time also when none is. */
+  /** Resolves once a leader is known, or after `maxMs` if none is. */
   async wait(maxMs: number): Promise<void> {
     if (!this.isLeaderKnown()) await this.heldCalls.hold(maxMs);
   }
 
-  /** Lets all go that wait, if a leader is known by now. */
+  /** Releases all waiting calls if a leader is known by now. */
   check(): void {
     if (this.heldCalls.size > 0 && this.isLeaderKnown()) this.release();
   }
 
-  /** Lets all go that wait. */
+  /** Releases all waiting calls. */
   release(): void {
     this.heldCalls.release();
   }
--- a/src/control/loadSums.ts
+++ b/src/control/loadSums.ts
@@ -1,24 +1,24 @@
 import type { WorkerLoad } from '../protocol/generated/beechlift';
 
-/** What all entries together have at one backend server. */
+/** Total load of all entries at one backend server. */
 interface LoadSum {
   inFlight: number;
   tokens: number;
-  /** Sum of what observers told, in thousandths. */
+  /** Sum of the slowness that observers reported, in thousandths. */
   slowness: number;
-  /** Entries that observed its speed. */
+  /** Number of entries that measured its speed. */
   observers: number;
-  /** Entries that told anything of it. */
+  /** Number of entries that reported a load. */
   reporters: number;
 }
 
 const NO_LOADS: readonly WorkerLoad[] = [];
 
 /**
- * What entries have at each backend server, added up as it is told.
+ * Sums of the loads of all entries at each backend server, updated with each report.
  *
- * Guards the leader of a large site: adding all reports up for each answer grows with the square of
- * the entries, and fills its processor before the first request.
+ * Adding up all reports for each reply would cost time that grows with the square of the number of
+ * entries, and would saturate the CPU of a large site's leader before the first request.
  *
  * @example
  * sums.set('e1', request.loads);
@@ -29,7 +29,7 @@
 
   private readonly sums = new Map<string, LoadSum>();
 
-  /** Takes what an entry has in place of what it told before. */
+  /** Replaces the reported loads of an entry. */
   set(entryId: string, loads: readonly WorkerLoad[]): void {
     this.remove(entryId);
     if (loads.length === 0) return;
@@ -37,7 +37,7 @@
     loads.forEach((load) => this.add(load, 1));
   }
 
-  /** Takes out what an entry told. */
+  /** Removes the reported loads of an entry. */
   remove(entryId: string): void {
     const loads = this.reportedLoads.get(entryId);
     if (!loads) return;
@@ -45,7 +45,7 @@
     loads.forEach((load) => this.add(load, -1));
   }
 
-  /** What all entries but one have. */
+  /** Sums the loads of all entries but one. */
   sum(exceptId: string): WorkerLoad[] {
     const own = new Map((this.reportedLoads.get(exceptId) ?? NO_LOADS).map((load) => [load.workerId, load]));
     return [...this.sums].map(([workerId, sum]) => {
--- a/src/control/logRunner.ts
+++ b/src/control/logRunner.ts
@@ -11,14 +11,14 @@
 import type { Clock } from '../utils/clock';
 import type { Operation } from '../utils/operation';
 
-/** What the runner hands on. */
+/** Callbacks of the runner. */
 export interface LogListener<Result> {
   readonly applyCommand: (command: string) => Result | undefined;
   readonly restoreSnapshot: (snapshot: Snapshot) => void;
   readonly takeSnapshot: () => string;
   readonly sendMessage: (message: LogMessage) => void;
   readonly handleRoleChange: (role: LogRole, term: number) => void;
-  /** The disk can no longer be trusted; the process must end. */
+  /** Called when the disk fails and can no longer be trusted: the process must end. */
   readonly failStorage: (error: unknown) => void;
 }
 
@@ -34,7 +34,7 @@
 
 type ImmediateEffectKind = Exclude<LogEffect['kind'], 'persist' | 'persistSnapshot'>;
 
-/** Acknowledgements of a round come within a few milliseconds. */
+/** Poll interval in milliseconds; acknowledgements of a round arrive within a few milliseconds. */
 const CONFIRM_POLL_MS = 2;
 const COMPACT_ENTRIES = 512;
 const COMPACT_BYTES = 8_388_608;
@@ -47,8 +47,8 @@
   effect && 'entries' in effect ? effect.entries.slice(-1) : []);
 
 /**
- * Drives the pure log of one replica: feeds it events, syncs what it wants synced, and only then
- * does what it wants done.
+ * Runs the replicated log of one replica, whose core has no side effects: passes it events,
+ * persists and syncs its writes, and only then runs its other effects.
  *
  * @example
  * const runner = new LogRunner('c1', stored, store, listener, systemClock);
@@ -58,8 +58,8 @@
   readonly state: LogState;
 
   /**
-   * Last index that the state machine has applied. The log's own index runs ahead of it, as what it
-   * wants applied waits behind a sync: a read or a snapshot by that index would miss commands.
+   * Last index that the state machine has applied. The applied index of the log core is ahead of
+   * it, as apply effects wait for a sync; a read or a snapshot at that index would miss commands.
    */
   appliedIndex: number;
 
@@ -86,12 +86,12 @@
     this.appliedIndex = stored.snapshot.index;
   }
 
-  /** Whether this replica may answer for the whole site at this moment. */
+  /** Whether this replica holds the leader lease and may answer for the whole site. */
   get holdsLease(): boolean {
     return !this.isStopped && holdsLeaderLease(this.state, this.clock.now());
   }
 
-  /** Runs one event. */
+  /** Handles one event of the log. */
   handle(event: LogEvent): void {
     if (this.isStopped) return;
     const effects = handleLogEvent(this.state, event, this.clock.now());
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Proves that this replica leads, by a round that a majority acknowledges; false when that does
-   * not come about before the deadline. Unlike the lease it rests on no clock.
+   * Confirms that this replica leads, by a round that a majority acknowledges; resolves with false
+   * if that fails before the deadline. Unlike the lease, it does not depend on clocks.
    */
   async confirmLeadership(operation: Operation): Promise<boolean> {
     this.handle({ kind: 'confirm' });
@@ -136,13 +136,13 @@
     return poll();
   }
 
-  /** Starts to change the replica set; false when one is being changed already. */
+  /** Starts a change of the replica set; returns false if another change is in progress. */
   changeReplicas(replicas: ReplicaSet): boolean {
     this.handle({ kind: 'changeReplicas', replicas });
     return this.lastProposed !== undefined;
   }
 
-  /** Stops; nothing is written after. */
+  /** Stops the log; nothing is written after that. */
   async stop(): Promise<void> {
     this.isStopped = true;
     this.rejectProposals('the replica is stopping');
@@ -157,7 +157,7 @@
     } finally {
       this.isDraining = false;
     }
-    // What came after the last batch and before the line above would wait for the next tick.
+    // Effects that were queued after the last batch would otherwise wait for the next tick.
     if (this.queue.length > 0 && !this.isStopped) await this.drain();
   }
 
@@ -172,14 +172,14 @@
   }
 
   /*
-   * Guards against a vote or an acknowledgement that a crash makes untrue: all that a batch wants
-   * on disk is synced, in one sync, before any message of the batch leaves.
+   * All writes of a batch are synced, in one sync, before any message of the batch is sent.
+   * Otherwise a crash could lose a vote or an entry that was already acknowledged.
    */
   private async persist(batch: readonly LogEffect[]): Promise<void> {
     const position = batch.findLastIndex(isOfKind('persistSnapshot'));
     const writes = batch.slice(position + 1).filter(isOfKind('persist'));
     const snapshot = batch[position];
-    // Looked up before the write: the log goes on adding to the entries of its snapshot.
+    // Read before the write, as the log keeps appending to the entries of its snapshot.
     const last = [snapshot, ...writes].flatMap(listLastEntry).at(-1);
     if (snapshot?.kind === 'persistSnapshot') {
       await this.store.replace(snapshot.snapshot, snapshot.hardState, snapshot.entries);
@@ -216,7 +216,7 @@
     if (!proposal) return;
     this.proposals.delete(entry.index);
     if (proposal.term === entry.term) proposal.resolve(result);
-    else proposal.reject(new BeechliftError('noQuorum', 'another leader took this place in the log'));
+    else proposal.reject(new BeechliftError('noQuorum', 'a new leader replaced this command in the log'));
   }
 
   private handleRoleChange(role: LogRole, term: number): void {
--- a/src/control/placementService.ts
+++ b/src/control/placementService.ts
@@ -53,28 +53,28 @@
     expectedMs: 0,
   });
 
-/** A request that waits, and the entry that is told of its decision. */
+/** A request that waits for a decision, and the stream on which its entry receives it. */
 interface PendingRequest {
   readonly stream: PlacementStream;
   readonly request: PlaceRequest;
 }
 
-/** What a desk is made from. */
+/** Dependencies of the placement service. */
 export interface PlacementServiceParts {
   readonly clock: Clock;
-  /** Called for each request that gets no place: it has used nothing of its account's limit. */
+  /** Called for each request that gets no slot, so that its account can be refunded. */
   readonly handleUnplaced: (request: PlaceRequest) => void;
-  /** Tells what is known against a request; nothing where it is left out. */
+  /** Finds the restriction on a request; if it is missing, no request is restricted. */
   readonly findRestriction?: RestrictionFinder | undefined;
-  /** All are on where none are named. */
+  /** Defaults to all mechanisms on. */
   readonly mechanisms?: Mechanisms | undefined;
 }
 
 /**
- * Where entries ask which model engine takes a request. Knows nothing of the wire.
+ * Assigns the requests of entries to slots of model engines. It is independent of the transport.
  *
  * @example
- * desk.ask(requests, line); // each decision goes to the line when it is made
+ * service.requestSlots(requests, stream); // each decision is sent to the stream when it is made
  */
 export class PlacementService {
   private readonly workers: RoutedWorkers;
@@ -88,24 +88,24 @@
     this.tables = makePlacementTables(this.workers, parts.findRestriction);
   }
 
-  /** Requests that wait for a slot, and those that hold one. */
+  /** Counts the requests that wait for a slot, and those that hold one. */
   countRequests(): { readonly waiting: number; readonly placed: number } {
     return { waiting: this.tables.waiting.size, placed: this.tables.placed.size };
   }
 
-  /** Whether a request waits for its decision. */
+  /** Whether a request waits for a decision. */
   isWaiting(placeId: string): boolean {
     return this.pending.has(placeId);
   }
 
-  /** Decides on requests that came together, now or when a slot becomes free. */
+  /** Requests slots; each decision is made now or when a slot becomes free. */
   requestSlots(requests: readonly PlaceRequest[], stream: PlacementStream): void {
     const now = this.parts.clock.now();
     requests.forEach((request) => this.pending.set(request.placeId, { stream: stream, request }));
     this.deliver(requestSlots(this.tables, requests.map((request) => toSlotRequest(request, now)), now));
   }
 
-  /** Takes in how placed requests go, and gives the slots that become free to others. */
+  /** Applies reports on placed requests, and grants the slots that become free. */
   applyReports(reports: readonly PlacedReport[]): void {
     if (reports.length === 0) return;
     const now = this.parts.clock.now();
@@ -116,22 +116,22 @@
     this.deliver(placeWaiting(this.tables, now));
   }
 
-  /** Frees what an entry no longer holds: it lost the reply, or its report did not arrive. */
+  /** Frees slots that an entry does not hold: the grant or the final report was lost. */
   releaseUnheld(entryId: string, heldIds: readonly string[]): void {
     retainPlaced(this.tables, entryId, new Set(heldIds));
   }
 
-  /** Takes in backend servers that changed. */
+  /** Applies changes of backend servers. */
   applyRecords(records: readonly WorkerRecord[]): void {
     applyRecords(this.workers, records);
   }
 
-  /** Takes in what entries have at backend servers without having asked here. */
+  /** Applies the load that entries put on backend servers without a grant from here. */
   applyLoads(loads: readonly WorkerLoad[]): void {
     applyLoads(this.workers, loads);
   }
 
-  /** Looks after what waits and what is held by entries that have gone. */
+  /** Frees the slots of entries that are gone, decides on waiting requests, sends keep-alives. */
   tick(isConnected: (entryId: string) => boolean): void {
     const now = this.parts.clock.now();
     expirePlaced(this.tables, isConnected, now);
@@ -139,7 +139,7 @@
     new Set([...this.pending.values()].map(({ stream: stream }) => stream)).forEach((stream) => stream.keepAlive());
   }
 
-  /** Takes out what waits for an entry whose stream ended, and gives back what it did not hear. */
+  /** Closes a stream: frees the slots whose grants were not sent, and drops waiting requests. */
   closeStream(stream: PlacementStream): void {
     stream.close().forEach(({ placeId, code }) => {
       if (code === 0) this.releaseGrant(placeId);
--- a/src/control/placementStream.ts
+++ b/src/control/placementStream.ts
@@ -2,31 +2,31 @@
 import type { Clock } from '../utils/clock';
 import { TurnTask } from '../utils/turnTask';
 
-/** The leader's end of an entry's stream. */
+/** Sends messages to an entry over its placement stream, and ends the stream. */
 export interface PlacementSink {
   readonly send: (decisions: PlaceDecisions) => void;
   readonly end: () => void;
 }
 
-/** The leader's side of an entry's stream. */
+/** Handles what an entry sends over its placement stream, and the end of the stream. */
 export interface PlacementMessageHandlers {
   readonly take: (message: PlaceNews) => void;
   readonly close: () => void;
 }
 
 /**
- * Longest silence towards an entry whose requests wait, in milliseconds: under half of the silence
- * that an entry takes for the leader's death.
+ * Longest time without a message to an entry whose requests wait, in milliseconds. It is less than
+ * half of the time after which the entry takes the leader for unavailable.
  */
 const KEEP_ALIVE_MS = 100;
 
 /**
- * How decisions reach one entry. What is decided in one turn of the loop goes as one message: the
- * busier the leader, the more decisions share the cost of one.
+ * Sends placement decisions to one entry. All decisions of one turn of the event loop go out in one
+ * message, so the cost per decision falls as the load of the leader grows.
  *
  * @example
- * line.acknowledge(news.number, news.requests.length > 0);
- * line.add(reply);
+ * stream.acknowledge(message.number, message.requests.length > 0);
+ * stream.add(reply);
  */
 export class PlacementStream {
   private replies: PlaceReply[] = [];
@@ -41,7 +41,7 @@
 
   isOpen = true;
 
-  /** The entry at its other end; empty before its first message. */
+  /** Id of the entry that opened the stream; empty before its first message. */
   entryId = '';
 
   constructor(private readonly sink: PlacementSink, private readonly clock: Clock) {
@@ -49,14 +49,14 @@
     this.receivedAt = this.sentAt;
   }
 
-  /** For how long nothing came from the entry, in milliseconds. */
+  /** Time since the last message of the entry, in milliseconds. */
   get silentMs(): number {
     return this.clock.now() - this.receivedAt;
   }
 
   /**
-   * Notes that a message of the entry was taken in. Only one that asks for places is answered at
-   * once; most only tell how streams go.
+   * Records that a message of the entry was processed. The acknowledgement is sent at once only if
+   * the message requests slots; most messages only report the progress of running requests.
    */
   acknowledge(number: number, isAsking: boolean): void {
     this.acknowledged = number;
@@ -64,18 +64,18 @@
     if (isAsking) this.flushTask.schedule();
   }
 
-  /** Tells the entry a decision. */
+  /** Queues a decision for the next message to the entry. */
   add(reply: PlaceReply): void {
     this.replies.push(reply);
     this.flushTask.schedule();
   }
 
-  /** Shows an entry whose requests wait that the leader is there. */
+  /** Sends a message if the last one is too long ago, so that the entry sees a live leader. */
   keepAlive(): void {
     if (this.clock.now() - this.sentAt >= KEEP_ALIVE_MS) this.flushTask.schedule();
   }
 
-  /** Ends the stream; what the entry was not told is returned. */
+  /** Ends the stream and returns the decisions that were not sent. */
   close(): readonly PlaceReply[] {
     if (!this.isOpen) return [];
     this.isOpen = false;
--- a/src/control/readBarrier.ts
+++ b/src/control/readBarrier.ts
@@ -5,12 +5,12 @@
 import { Operation } from '../utils/operation';
 import type { LogRunner } from './logRunner';
 
-/** Most milliseconds that proving leadership may take. */
+/** Time limit for confirming leadership, in milliseconds. */
 const CONFIRM_TIMEOUT_MS = 700;
-/** How often a reader looks whether its replica has caught up. */
+/** Interval at which a read checks whether this replica has caught up, in milliseconds. */
 const POLL_APPLIED_MS = 2;
 
-/** What a reader needs. */
+/** Dependencies of a read barrier. */
 export interface ReadBarrierParts {
   readonly runner: Pick<LogRunner<true>, 'state' | 'appliedIndex' | 'confirmLeadership'>;
   readonly readLeaderAddress: () => string;
@@ -19,31 +19,32 @@
 }
 
 /**
- * Waits until this replica holds the newest that was accepted when the wait began.
+ * Makes reads linearizable: waits until this replica has applied everything that was accepted
+ * before the read began.
  *
- * Guards against an answer from the past: a replica that was cut off or suspended may believe that
- * it leads, or that it is up to date. The leader proves that it leads by a round that a majority
- * acknowledges, and this replica answers only once it has applied what the leader had committed.
+ * A replica that was partitioned or suspended may wrongly believe that it leads, or that it is up
+ * to date, and would return stale data. So the leader confirms its leadership by a round that a
+ * majority acknowledges, and this replica then applies the log up to the leader's commit index.
  *
  * @example
- * await reader.waitNewest(); // throws when no majority can be asked
+ * await readBarrier.waitUntilCurrent(); // throws when no majority answers
  */
 export class ReadBarrier {
   constructor(private readonly parts: ReadBarrierParts) {}
 
-  /** Resolves once this replica holds the newest; throws when it cannot be sure. */
+  /** Resolves once this replica is up to date; throws when that cannot be confirmed in time. */
   async waitUntilCurrent(): Promise<void> {
     const { confirmed, commitIndex } = await this.requestConfirmation();
-    if (!confirmed) throw new BeechliftError('noQuorum', 'no majority confirmed which document is the newest');
+    if (!confirmed) throw new BeechliftError('noQuorum', 'no majority confirmed which document is the latest');
     await this.waitApplied(commitIndex, this.startOperation());
   }
 
-  /** Proves that this replica leads, and how far the log is committed. */
+  /** Confirms that this replica leads, and returns its commit index. */
   async confirmLeadership(): Promise<ConfirmReply> {
     const { runner } = this.parts;
     const { commitIndex } = runner.state;
     const confirmed = await runner.confirmLeadership(this.startOperation());
-    // What is committed by now is at least what was when the call came.
+    // The commit index never falls, so the later value covers the time of the call too.
     return { confirmed, commitIndex: Math.max(commitIndex, runner.state.commitIndex) };
   }
 
@@ -56,7 +57,7 @@
 
   private async waitApplied(index: number, operation: Operation): Promise<void> {
     if (this.parts.runner.appliedIndex >= index) return;
-    if (operation.remainingMs === 0) throw new BeechliftError('noQuorum', 'this replica lags behind the newest document');
+    if (operation.remainingMs === 0) throw new BeechliftError('noQuorum', 'this replica did not catch up with the latest document in time');
     await pause(POLL_APPLIED_MS);
     await this.waitApplied(index, operation);
   }
--- a/src/control/recordCache.ts
+++ b/src/control/recordCache.ts
@@ -2,31 +2,31 @@
 import { RecordFile } from '../disk/recordFile';
 import type { Logger } from '../telemetry/logger';
 
-/** Shortest time between two writes, in milliseconds: what changes meanwhile goes into one. */
+/** Shortest time between two writes, in milliseconds; one write covers all changes in between. */
 const WRITE_MS = 500;
 
-/** What a memo is made from. */
+/** Dependencies of a record cache. */
 export interface RecordCacheParts<Item> {
   readonly files: FileSystem;
   readonly path: string;
-  /** Reads a record; what an earlier version wrote may lack fields. */
+  /** Parses a record; records that an earlier version wrote may lack fields. */
   readonly parse: (record: Partial<Item>) => Item;
   readonly logger: Logger;
 }
 
 /**
- * Remembers over a restart what would be heard again only later, such as the backend servers: until
- * their next announcements a site whose processes were all killed at once would have nowhere to
- * send requests. What is remembered may be old, and nothing depends on its being there.
+ * Caches records on disk over a restart, such as the backend servers. Without the cache, a site
+ * whose processes were all killed at once would have no server to send requests to until the next
+ * announcements. Cached records may be stale or missing.
  *
  * @example
- * const records = await memo.load();
- * memo.note(`${epoch}/${revision}`, clock.now(), () => listRecords());
+ * const records = await cache.load();
+ * cache.note(`${epoch}/${revision}`, clock.now(), () => listRecords());
  */
 export class RecordCache<Item> {
   private readonly file: RecordFile;
 
-  /** State that is on the disk, or on its way there. */
+  /** State that was last written to disk, or is being written. */
   private writtenState = '';
 
   private writtenAt = -Infinity;
@@ -37,21 +37,21 @@
     this.file = new RecordFile(parts.files, parts.path);
   }
 
-  /** What was remembered; nothing when that cannot be read. */
+  /** Reads the cached records; returns none if the file cannot be read. */
   async load(): Promise<Item[]> {
     const { path, parse, logger } = this.parts;
     try {
       return (await this.file.open()).map((record) => parse(record as Partial<Item>));
     } catch (error) {
-      logger.warn('remembered records cannot be read', { path, reason: (error as Error).message });
+      logger.warn('cached records could not be read', { path, reason: (error as Error).message });
       return [];
     }
   }
 
   /**
-   * Writes what changed, when the last write is long enough ago and done.
+   * Writes the records if they changed and the last write is done and long enough ago.
    *
-   * @param state names the content: the table that it comes from, and its revision there
+   * @param state identifies the content: epoch and revision of the table that it comes from
    */
   note(state: string, now: number, listRecords: () => readonly Item[]): void {
     const isDue = state !== this.writtenState && now - this.writtenAt >= WRITE_MS;
@@ -60,7 +60,7 @@
     this.writtenAt = now;
     this.isWriting = true;
     this.file.replace(listRecords)
-      .catch((error: unknown) => this.parts.logger.warn('records cannot be remembered', { path: this.parts.path, reason: (error as Error).message }))
+      .catch((error: unknown) => this.parts.logger.warn('records could not be cached', { path: this.parts.path, reason: (error as Error).message }))
       .finally(() => {
         this.isWriting = false;
       });
--- a/src/control/recoveryWindow.ts
+++ b/src/control/recoveryWindow.ts
@@ -1,56 +1,56 @@
 import type { Clock } from '../utils/clock';
 
 /**
- * How long a replica that has begun to lead takes in what others remember, in milliseconds: after
- * that, servers that live have announced themselves, and replicas that are late know less.
+ * How long a new leader accepts records that other replicas cached, in milliseconds. Later, all
+ * running servers have announced themselves, and cached records would only be older.
  */
 const RECOVERY_MS = 5_000;
-/** How long a leader is told what was remembered over a restart, in milliseconds. */
+/** How long a replica reports its cached records to the leader after a restart, in milliseconds. */
 const REPORT_MS = 1_000;
-/** How long entries wait at most for what others remember, in milliseconds. */
+/** Longest time that entries wait for cached records of other replicas, in milliseconds. */
 const HOLD_MS = 500;
 
 /**
- * When a replica that leads learns from the others what they remember over a restart, and when one
- * that follows tells it.
+ * Times in which a new leader accepts the records that other replicas cached over a restart, and in
+ * which a follower reports its own.
  *
- * Guards a site whose processes all ended: who leads is decided by the log, and the one that leads
- * may have lost what it remembered beside it. One that has followed a leader since its start knows
- * more than any disk, and takes nothing in.
+ * After all processes of a site ended, the log decides which replica leads, and that replica may
+ * have lost its cache. A replica that has followed a leader since its start has newer records than
+ * any cache, and accepts none.
  *
  * @example
- * if (recall.isOpen) registry.recover(request.rememberedWorkers);
+ * if (recoveryWindow.isOpen) registry.recover(request.rememberedWorkers);
  */
 export class RecoveryWindow {
   private followingSince: number | undefined;
 
   private opensAt = -Infinity;
 
-  /** @param isRestart whether this replica has a log from before its start */
+  /** @param isRestart whether the replica already had a log when its process started */
   constructor(private readonly clock: Clock, private readonly isRestart: boolean) {}
 
-  /** Whether what others remember is taken in. */
+  /** Whether cached records of other replicas are accepted. */
   get isOpen(): boolean {
     return this.clock.now() < this.opensAt + RECOVERY_MS;
   }
 
-  /** How much longer entries may be held for what others remember, in milliseconds. */
+  /** How much longer watch requests may be held for cached records, in milliseconds. */
   get holdMs(): number {
     return Math.max(0, this.opensAt + HOLD_MS - this.clock.now());
   }
 
-  /** Whether a leader is told what this replica remembers. */
+  /** Whether this replica reports its cached records to the leader. */
   get isReporting(): boolean {
     const { followingSince: followingSince } = this;
     return followingSince === undefined || this.clock.now() - followingSince <= REPORT_MS;
   }
 
-  /** Notes that this replica took over what a leader knows. */
+  /** Records that this replica has applied the state of a leader. */
   markFollowing(): void {
     this.followingSince ??= this.clock.now();
   }
 
-  /** Notes that this replica has begun to lead. */
+  /** Records that this replica has become the leader. */
   markLeading(): void {
     const mayLackRecords = this.isRestart && this.followingSince === undefined;
     if (mayLackRecords) this.opensAt = this.clock.now();
--- a/src/control/replacement.ts
+++ b/src/control/replacement.ts
@@ -3,13 +3,14 @@
 import type { AgreedHolders, SiteCommand } from '../core/membership/siteState';
 
 /**
- * Replacing a control replica, step by step: the newcomer learns the log, then votes, then the old
- * one goes; then the claim holders follow, first both sets together, then the new one alone. Every
- * step is a command of the log, so a new leader goes on where the old one stopped.
+ * Steps that replace a control replica: the new replica learns the log, then votes, then the old
+ * replica is removed. After that the claim holders change, first to both sets together, then to the
+ * new set alone. Every step is a command of the log, so a new leader continues where the old one
+ * stopped.
  */
 
 /**
- * First step: the newcomer learns, and the one to go is marked.
+ * First step: adds the new replica as a learner, and marks the old one as leaving.
  *
  * @example
  * const next = startReplacement(replicas, 'c2', { id: 'c4', address, zone });
@@ -29,16 +30,16 @@
 const MAX_LAG_ENTRIES = 4;
 
 /*
- * Guards against a majority that counts on a replica which does not hold the log yet: were a second
- * VM lost right after the repair, nothing could be committed. A learner votes only once it has all
- * but the last entries.
+ * A learner votes only once it has all but the last entries. A voter that lacks the log does not
+ * help to form a majority: if a second VM were lost right after the repair, nothing could be
+ * committed.
  */
 const hasCaughtUp = (state: LogState, id: string): boolean => {
   const matchIndex = state.peers.get(id)?.matchIndex ?? 0;
   return matchIndex > 0 && state.commitIndex - matchIndex <= MAX_LAG_ENTRIES;
 };
 
-/** Next step of the replica set, or undefined when none is due. */
+/** Plans the next step of the replica set; undefined if none is due. */
 export const planReplicaChange = (state: LogState): ReplicaSet | undefined => {
   const { voters, learners, leaving } = state.replicas;
   const [learner] = learners;
@@ -59,9 +60,9 @@
 );
 
 /**
- * Next step of the claim holders, or undefined when none is due.
+ * Plans the next step of the claim holders; undefined if none is due.
  *
- * @param copiedSet newest holder set whose newcomer has copied its claims
+ * @param copiedSet newest holder set whose new holder has copied its claims
  * @example
  * const command = planHolderChange(site.holders, state, copiedSet);
  */
--- a/src/control/replicaDirectory.ts
+++ b/src/control/replicaDirectory.ts
@@ -1,12 +1,13 @@
 import type { Replica } from '../protocol/generated/beechlift';
 import type { ReplicaSet } from '../core/log/logTypes';
 
-/** Replicas that are remembered from looking for the site, at most. */
+/** Bounds the number of replicas that are kept from searching the site. */
 const MAX_DISCOVERED = 32;
 
 /**
- * Where replicas are reached. One that joins knows nobody by its log yet, and has to answer the
- * leader from which it will learn it: it goes by whom it met while it looked for the site.
+ * Addresses of replicas. The log of a joining replica names no other replica yet, but the replica
+ * must answer the leader that sends it the log. So it also uses the replicas that it found while
+ * searching the site.
  *
  * @example
  * directory.find('c1', state.replicas)?.address;
@@ -16,16 +17,16 @@
 
   constructor(private readonly founders: readonly Replica[]) {}
 
-  /** Notes who answered while this replica looked for the site. */
+  /** Records a replica that answered while this one searched the site. */
   addDiscovered(replica: Replica): void {
-    // One replica at an address: a birth that is gone is forgotten.
+    // One replica per address: an earlier identity at the address lost its disk.
     this.discovered.forEach(({ address }, id) => {
       if (address === replica.address) this.discovered.delete(id);
     });
     if (this.discovered.size < MAX_DISCOVERED) this.discovered.set(replica.id, replica);
   }
 
-  /** A replica by its birth. */
+  /** Finds a replica by id. */
   find(id: string, { voters, learners }: ReplicaSet): Replica | undefined {
     return [...voters, ...learners, ...this.founders, ...this.discovered.values()]
       .find((replica) => replica.id === id);
--- a/src/control/replicaIdentity.ts
+++ b/src/control/replicaIdentity.ts
@@ -10,21 +10,21 @@
 }
 
 /**
- * The identity of a replica: a birth that its disk keeps. A disk that was lost brings forth another
- * birth, so a replica that has forgotten its votes is never taken for the one that gave them.
+ * The identity of a replica, stored on its disk. A replica whose disk was lost gets a new identity,
+ * so a replica that has lost its votes is never mistaken for the one that cast them.
  *
  * @example
- * const record = new BirthRecord(nodeFileSystem, 'data');
- * await record.open();
+ * const identity = new ReplicaIdentity(nodeFileSystem, 'data');
+ * await identity.open();
  */
 export class ReplicaIdentity {
-  /** The birth; the same for as long as the disk lasts. */
+  /** Id of the replica; unchanged as long as its disk exists. */
   id = '';
 
-  /** Voters that the site began with; undefined until this replica takes part in one. */
+  /** Initial voters of the site, empty on a joining replica; undefined until they are known. */
   founders: readonly Replica[] | undefined;
 
-  /** Whether the disk held a birth already when the process started. */
+  /** Whether the disk already held an identity when the process started. */
   existedAtStart = false;
 
   private readonly file: RecordFile;
@@ -33,7 +33,7 @@
     this.file = new RecordFile(files, join(folder, 'birth.log'));
   }
 
-  /** Reads the birth, or writes a new one, which is synced before anybody hears of it. */
+  /** Reads the identity, or writes a new one and syncs it before it is used. */
   async open(): Promise<void> {
     const records = await this.file.open() as IdentityRecord[];
     const birth = records.find((record) => record.birth !== undefined)?.birth;
@@ -43,7 +43,7 @@
     if (birth === undefined) await this.file.append([{ birth: this.id }]);
   }
 
-  /** Notes with whom the site begins; empty for a replica that joins one. */
+  /** Stores the initial voters of the site; empty for a replica that joins an existing site. */
   async saveFounders(founders: readonly Replica[]): Promise<void> {
     await this.file.append([{ founders }]);
     this.founders = founders;
--- a/src/control/replicaSetManager.ts
+++ b/src/control/replicaSetManager.ts
@@ -8,42 +8,42 @@
 
 /** Entries of the log that a learner may lack when it begins to vote. */
 const MAX_LAG_ENTRIES = 4;
-/** Silence after which a replica may be replaced by one that stands by, in milliseconds. */
+/** Time without a message after which a joining replica may replace a replica, in milliseconds. */
 const REPLICA_TIMEOUT_MS = 3_000;
 
 /**
- * What a leader knows of the other replicas, by which it heals the replica set step by step.
+ * Tracks the other replicas on the leader, and repairs the replica set one step at a time.
  *
  * @example
- * keeper.tend(runner, leadingSince);
+ * replicaSetManager.reconcile(runner, leadingSince);
  */
 export class ReplicaSetManager {
   private readonly joinRequests = new JoinRequests();
 
   private readonly receivedAt = new Map<string, number>();
 
-  /** @param voterCount voters that the site is to have */
+  /** @param voterCount target number of voters of the site */
   constructor(
     private readonly voterCount: number,
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {}
 
-  /** Notes that a message of a replica came. */
+  /** Records that a message of a replica arrived. */
   recordMessage(id: string): void {
     this.receivedAt.set(id, this.clock.now());
   }
 
-  /** Notes that a replica asks to take part. */
+  /** Records that a replica asked to join the site. */
   recordJoinRequest(replica: Replica): void {
     this.joinRequests.record(replica, this.clock.now());
   }
 
-  /** Takes the next step of the replica set, when one is due. */
+  /** Starts the next change of the replica set, if one is due. */
   reconcile(runner: Pick<LogRunner<true>, 'state' | 'changeReplicas'>, leadingSince: number): void {
     const next = this.plan(runner.state, leadingSince);
     if (!next || !runner.changeReplicas(next)) return;
-    this.logger.info('replica set changes', {
+    this.logger.info('replica set change started', {
       voters: next.voters.map(({ id }) => id).join(' '),
       learners: next.learners.map(({ id }) => id).join(' '),
     });
@@ -62,8 +62,8 @@
   }
 
   /*
-   * Guards a newcomer against being dropped before its first message, which would add and drop it
-   * again and again: its silence counts from when this replica first saw it in the set.
+   * The timeout of a joining replica counts from the moment at which this replica first saw it in
+   * the set. Otherwise it would be removed before its first message and added again, repeatedly.
    */
   private listUnresponsive(
     { id: ownId, replicas }: LogState,
--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -34,39 +34,39 @@
 const CONFIRM_TIMEOUT_MS = 800;
 /** Backend servers wait one second for an acknowledgement. */
 const ANNOUNCE_TIMEOUT_MS = 700;
-/** How long a replica that follows has its question held by the leader. */
+/** How long the leader holds a watch request of a follower, in milliseconds. */
 const FOLLOW_HOLD_MS = 250;
 const FOLLOW_TIMEOUT_MS = 700;
-/** How often a replica that hears no leader looks for the site. */
+/** Interval at which a replica without a leader searches the site, in milliseconds. */
 const DISCOVERY_INTERVAL_MS = 400;
 
-/** What a routed control process is made from. */
+/** Settings of a routed control process. */
 export interface RoutedControlSettings {
   readonly zone: string;
-  /** IP and port where the other replicas and the entries reach it by gRPC. */
+  /** IP address and port on which it serves gRPC for the other replicas and the entries. */
   readonly address: string;
-  /** gRPC addresses of the replicas that found the site, or that know it. */
+  /** gRPC addresses of the founding replicas, or of replicas of the existing site. */
   readonly readSeeds: () => readonly string[];
   readonly isFirstStart: boolean;
   readonly dataFolder: string;
   readonly bounds: LeaseBounds;
   readonly voterCount: number;
-  /** What accounts may use beyond their limits, over all entries together. */
+  /** What accounts may use beyond their limits, summed over all entries. */
   readonly limitSlack: number;
-  /** For experiments; deployments leave all on. */
+  /** Mechanisms to turn off, for experiments; deployments leave all on. */
   readonly mechanismsOff?: readonly Mechanism[];
 }
 
-/** What a routed control process needs from outside. */
+/** Dependencies of a routed control process. */
 export interface RoutedControlParts {
   readonly settings: RoutedControlSettings;
   readonly readRouting: RoutingReader;
   readonly logger: Logger;
-  /** Called when the disk failed: the process must end, and vote for nothing more. */
+  /** Called when the disk fails: the process must end and cast no more votes. */
   readonly failStorage: (error: unknown) => void;
 }
 
-/** A routed control process that runs. */
+/** A running routed control process. */
 export interface RunningRoutedControl {
   readonly node: RoutedNode;
   readonly stop: () => Promise<void>;
@@ -86,12 +86,12 @@
   new Operation({ timeoutMs }),
 );
 
-/** Messages of the log that are under way to each replica, at most. */
+/** Most log messages in flight to each replica. */
 const MAX_STEPS_IN_FLIGHT = 64;
 
 /*
- * Guards memory against a replica that takes connections but answers nothing: beyond the bound its
- * messages are dropped, as the log repeats what was lost.
+ * Bounds the memory for a replica that accepts connections but does not answer: further messages to
+ * it are dropped, as the log resends lost messages.
  */
 const makeStepSender = (links: Links): ((message: LogMessage, address: string) => void) => {
   const inFlight = new Map<string, number>();
@@ -100,7 +100,7 @@
     if (count >= MAX_STEPS_IN_FLIGHT) return;
     inFlight.set(address, count + 1);
     callSite<LogMessage, object>(links, address, 'step', message, STEP_TIMEOUT_MS)
-      .catch(() => undefined) // The log repeats what was lost.
+      .catch(() => undefined) // The log resends lost messages.
       .finally(() => inFlight.set(address, (inFlight.get(address) ?? 1) - 1));
   };
 };
@@ -110,9 +110,9 @@
   address: string,
   self: Replica,
 ): Promise<MeetReply | undefined> => callSite<MeetRequest, MeetReply>(links, address, 'meet', { from: self }, MEET_TIMEOUT_MS)
-  .catch(() => undefined); // One that does not answer is asked again.
+  .catch(() => undefined); // Asked again later.
 
-/** What serves calls, once the replica knows with whom it begins. */
+/** Refers to the node, which exists once the initial voters are known. */
 interface NodeReference { node: RoutedNode | undefined }
 
 const requireNode = ({ node }: NodeReference): RoutedNode => {
@@ -121,7 +121,7 @@
 };
 
 const makeFailureListener = (logger: Logger): FailureListener => ({ message: reason }) => {
-  logger.error('message not taken in, its stream ends', { reason });
+  logger.error('message could not be processed, closing its stream', { reason });
 };
 
 const makeService = (
@@ -132,13 +132,13 @@
 ) => ({
   watch: handleUnary<WatchRequest, WatchReply>((request) => requireNode(nodeReference).watch(request)),
   keepWatch: handleStream<WatchRequest, WatchReply>((stream) => {
-    // Asked for when the stream opens: what is thrown then ends the stream, not the process.
+    // Looked up when the stream opens: an error here ends the stream, not the process.
     const node = requireNode(nodeReference);
     stream.listen({
       take: (request) => {
         node.watch(request).then((reply) => stream.send(reply)).catch((thrown: unknown) => {
-          logger.error('question not answered', { entry: request.entryId, reason: toBeechliftError(thrown).message });
-          stream.end(); // Who asked looks for another replica.
+          logger.error('watch request failed', { entry: request.entryId, reason: toBeechliftError(thrown).message });
+          stream.end(); // The client then tries another replica.
         });
       },
       close: () => undefined,
@@ -167,13 +167,13 @@
   }),
 });
 
-/** Asks the leader once for what changed; tells whether it was the leader that answered. */
+/** Sends one watch request to the leader; resolves with whether the leader answered. */
 const followOnce = async (node: RoutedNode, links: Links): Promise<boolean> => {
   const address = node.leaderAddress;
   const canAsk = !node.isLeading && address !== '' && node.runner.state.role !== 'leader';
   if (!canAsk) return false;
   const reply = await callSite<WatchRequest, WatchReply>(links, address, 'watch', node.buildFollowRequest(FOLLOW_HOLD_MS), FOLLOW_TIMEOUT_MS)
-    .catch(() => undefined); // One that does not answer is asked again.
+    .catch(() => undefined); // Asked again later.
   if (!reply || reply.leaseMs <= 0) return false;
   node.follow(reply);
   return true;
@@ -184,7 +184,7 @@
   const ask = async (): Promise<void> => {
     if (stopped) return;
     const isAnswered = await followOnce(node, links).catch((thrown: unknown) => {
-      logger.error('answer of the leader not taken in', { reason: toBeechliftError(thrown).message });
+      logger.error('watch reply of the leader could not be applied', { reason: toBeechliftError(thrown).message });
       return false;
     });
     setTimeout(() => {
@@ -217,7 +217,7 @@
         const isUnknown = leader !== '' && leader !== self.address && !addresses.has(leader);
         return isUnknown ? ask(leader) : '';
       })
-      .catch(() => undefined); // Looked for again in a moment.
+      .catch(() => undefined); // Retried at the next interval.
   });
 };
 
@@ -245,7 +245,8 @@
   await identity.open();
   const self: Replica = { id: identity.id, address: settings.address, zone: settings.zone };
   const nodeReference: NodeReference = { node: undefined };
-  // Replicas bound each of their calls, and the leader looks for entries that have gone.
+  // Replicas bound each of their calls, and the leader detects entries that are gone, so slow pings
+  // suffice.
   const server = new RpcServer('calm');
   server.add(SiteService, makeService(nodeReference, identity, self, logger));
   await server.listen(settings.address);
@@ -256,7 +257,7 @@
     isFirstStart: settings.isFirstStart,
     askSeed: (address) => callMeet(links, address, self),
   }).waitForFounders();
-  logger.info('site found', { birth: self.id, founders: founders.length });
+  logger.info('initial voters determined', { birth: self.id, founders: founders.length });
   const store = new LogStore(nodeFileSystem, settings.dataFolder);
   const stored = await store.load(makeEmptyLog({ voters: founders, learners: [], leaving: [] }));
   const workerCache = makeRecordCache(settings.dataFolder, 'workers.log', WorkerRecord, logger);
@@ -280,7 +281,7 @@
         }),
       announce: (announcement, address) => callSite<WorkerAnnouncement, AnnounceReply>(links, address, 'announce', announcement, ANNOUNCE_TIMEOUT_MS)
         .catch((thrown: unknown) => {
-          logger.warn('announcement not forwarded', { worker: announcement.workerId, reason: toBeechliftError(thrown).message });
+          logger.warn('announcement could not be forwarded', { worker: announcement.workerId, reason: toBeechliftError(thrown).message });
           return { taken: false };
         }),
       confirm: (address) => callSite<object, ConfirmReply>(links, address, 'confirm', {}, CONFIRM_TIMEOUT_MS)
--- a/src/control/routedMetrics.ts
+++ b/src/control/routedMetrics.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * What a control replica of a routed site counts, read when it is asked for.
+ * Metrics of a control replica of a routed site; values are read when the metrics are requested.
  *
  * @example
  * const text = await new RoutedMetrics(node).registry.metrics();
@@ -20,11 +20,11 @@
     addGauge(registry, 'beechlift_control_leads', '1 while this replica holds the leader lease', () => Number(node.isLeading));
     addGauge(registry, 'beechlift_control_term', 'Term of the log', () => node.runner.state.term);
     addGauge(registry, 'beechlift_control_commit_index', 'Last committed index', () => node.runner.state.commitIndex);
-    addGauge(registry, 'beechlift_document_version', 'Routing document in force here', () => node.site.version);
-    addGauge(registry, 'beechlift_entries', 'Entries that callers are sent to', () => node.listEntries().length);
-    addGauge(registry, 'beechlift_requests_waiting', 'Requests that wait for a slot; 0 on one that follows', () => node.countRequests().waiting);
-    addGauge(registry, 'beechlift_requests_placed', 'Requests that hold a slot; 0 on one that follows', () => node.countRequests().placed);
-    addGauge(registry, 'beechlift_dropped_log_lines', 'Log lines that were dropped since the start', countDroppedLines);
+    addGauge(registry, 'beechlift_document_version', 'Version of the current routing document', () => node.site.version);
+    addGauge(registry, 'beechlift_entries', 'Entries that accept callers', () => node.listEntries().length);
+    addGauge(registry, 'beechlift_requests_waiting', 'Requests that wait for a slot; 0 on a follower', () => node.countRequests().waiting);
+    addGauge(registry, 'beechlift_requests_placed', 'Requests that hold a slot; 0 on a follower', () => node.countRequests().placed);
+    addGauge(registry, 'beechlift_dropped_log_lines', 'Log lines dropped since the start', countDroppedLines);
     this.addWorkers(node);
     this.addSuspects(node);
     this.addRefusals(node);
@@ -34,7 +34,7 @@
   private addWork({ work }: RoutedNode): void {
     const gauge: Gauge<'work'> = new Gauge({
       name: 'beechlift_control_work_seconds',
-      help: 'Time that each kind of work took since the start',
+      help: 'Time spent on each kind of work since the start',
       labelNames: ['work'],
       registers: [this.registry],
       collect: (): void => {
@@ -47,7 +47,7 @@
   private addSuspects({ suspects }: RoutedNode): void {
     const gauge: Gauge<'stage'> = new Gauge({
       name: 'beechlift_suspect_requests',
-      help: 'Requests under which backend servers ended, as this replica knows them',
+      help: 'Requests suspected of crashing backend servers',
       labelNames: ['stage'],
       registers: [this.registry],
       collect: (): void => {
@@ -62,7 +62,7 @@
   private addRefusals({ announcementValidator: validator }: RoutedNode): void {
     const gauge: Gauge<'code'> = new Gauge({
       name: 'beechlift_announcements_refused',
-      help: 'Announcements of backend servers that were refused since the start',
+      help: 'Refused announcements of backend servers since the start',
       labelNames: ['code'],
       registers: [this.registry],
       collect: (): void => {
@@ -74,7 +74,7 @@
   private addWorkers(node: RoutedNode): void {
     const gauge: Gauge<'standing'> = new Gauge({
       name: 'beechlift_backend_servers',
-      help: 'Backend servers that this replica knows',
+      help: 'Known backend servers',
       labelNames: ['standing'],
       registers: [this.registry],
       collect: (): void => {
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -28,14 +28,14 @@
 import type { ReplicaView } from './watchService';
 import { WorkMeter } from './workMeter';
 
-/** How often the log looks at its timers, in milliseconds. */
+/** Interval at which the log checks its timers, in milliseconds. */
 export const TICK_MS = 25;
-/** Silence of the leader after which a replica looks for the site, in milliseconds. */
+/** Time without contact to a leader after which a replica searches the site, in milliseconds. */
 const LOST_CONTACT_MS = 1_000;
 
 /**
- * One replica that serves control of a routed site: the replicated routing document, the backend
- * servers that announced themselves, and the entries that watch. It knows nothing of the wire.
+ * One control replica of a routed site: it serves the replicated routing document, the registered
+ * backend servers, and the watch requests of entries. It is independent of the transport.
  *
  * @example
  * const node = new RoutedNode(parts);
@@ -48,7 +48,7 @@
 
   private readonly softState: SoftState;
 
-  /** Keeps out announcements that no backend server of this site sends. */
+  /** Rejects announcements that no backend server of this site sends. */
   readonly announcementValidator: AnnouncementValidator;
 
   private readonly announcementService: AnnouncementService;
@@ -71,7 +71,7 @@
 
   private suspensionEpoch: number;
 
-  /** What this replica works on. */
+  /** Measures the work of this replica by kind. */
   readonly work: WorkMeter;
 
   constructor(private readonly parts: RoutedNodeParts) {
@@ -126,17 +126,17 @@
     });
   }
 
-  /** Requests that are known to end backend servers. */
+  /** Requests that are suspected of crashing backend servers. */
   get suspects(): SuspectRegistry {
     return this.softState.suspects;
   }
 
-  /** gRPC address of the leader as this replica knows it; empty when there is none. */
+  /** gRPC address of the leader; empty if this replica knows none. */
   get leaderAddress(): string {
     return this.findAddress(this.runner.state.leaderId);
   }
 
-  /** Whether this replica leads and no other can at this moment. */
+  /** Whether this replica leads and holds the lease, so that no other replica can lead. */
   get isLeading(): boolean {
     this.checkSuspension();
     return this.runner.holdsLease;
@@ -153,19 +153,19 @@
     return [...voters, ...learners].map(({ address }) => address);
   }
 
-  /** Whether nothing was heard from a leader for long: the replica may not be part of the site. */
+  /** Whether contact to the leader was lost; this replica may no longer be part of the site. */
   get hasLostContact(): boolean {
     const { state } = this.runner;
     return state.role !== 'leader'
       && this.parts.clock.now() - state.lastLeaderContactAt > LOST_CONTACT_MS;
   }
 
-  /** Entries that callers may be sent to. */
+  /** Lists the entries that accept callers. */
   listEntries(): readonly EntryRecord[] {
     return this.isLeading ? this.leaderState.listEntries() : this.softState.listEntries();
   }
 
-  /** Runs the log and, on a leader, what keeps the site in order. */
+  /** Runs the timers of the log and, on a leader, the periodic tasks of the site. */
   tick(): void {
     this.checkSuspension();
     this.work.recordTick();
@@ -179,52 +179,53 @@
     this.work.logCounts();
   }
 
-  /** Takes a message of another replica. */
+  /** Handles a log message of another replica. */
   step(message: LogMessage): void {
     this.replicaSetManager.recordMessage(message.from);
     this.runner.handle({ kind: 'message', message });
     this.leaderWait.check();
   }
 
-  /** Answers an entry or a replica that follows, held until there is news. */
+  /** Answers an entry or a follower; the request is held until there is an update. */
   watch(request: WatchRequest): Promise<WatchReply> {
     return this.watchService.watch(request);
   }
 
-  /** Takes in what the leader told a replica that follows. */
+  /** Applies a watch reply of the leader on a follower. */
   follow(reply: WatchReply): void {
     if (!this.runner.holdsLease) this.softState.applyReply(reply);
   }
 
-  /** What a replica that follows asks the leader with. */
+  /** Builds the watch request that a follower sends to the leader. */
   buildFollowRequest(holdMs: number): WatchRequest {
     return this.softState.buildFollowRequest(this.site.digest, holdMs);
   }
 
-  /** Checks a document and has a majority accept it; on a replica that follows it is forwarded. */
+  /** Validates a document and replicates it to a majority; a follower forwards it to the leader. */
   publish(request: PublishRequest): Promise<PublishReply> {
     return this.publisher.publish(request);
   }
 
-  /** The newest accepted document; throws when this replica cannot be sure which it is. */
+  /** Reads the latest accepted document; throws if this replica cannot confirm that it has it. */
   async readLatestDocument(): Promise<SiteDocument> {
     await this.readBarrier.waitUntilCurrent();
-    if (this.site.version === 0) throw new BeechliftError('noQuorum', 'no document was accepted yet');
+    if (this.site.version === 0) throw new BeechliftError('noQuorum', 'no document has been accepted yet');
     return this.site;
   }
 
-  /** Proves that this replica leads, for one that follows. */
+  /** Confirms to a follower that this replica leads, and returns the commit index. */
   confirm(): Promise<ConfirmReply> {
     return this.readBarrier.confirmLeadership();
   }
 
   /**
-   * Opens the line by which an entry asks for places, until its stream ends or another leads.
+   * Opens the stream on which an entry requests slots, until the stream ends or another replica
+   * leads.
    *
-   * It needs no lease: slots and what accounts have left are counted here alone until another
-   * replica leads, and entries that hear of one ask it. Over lossy links the lease lapses for some
-   * hundred milliseconds at a time; entries that choose for themselves then refuse requests of
-   * accounts within their limits.
+   * It needs no lease: only this replica counts slots and remaining account limits until another
+   * one leads, and entries that learn of a new leader connect to it. On lossy links the lease
+   * lapses for some hundred milliseconds at a time. If placement stopped meanwhile, the entries
+   * would choose servers themselves and refuse requests of accounts within their limits.
    */
   openPlacementStream(sink: PlacementSink): PlacementMessageHandlers {
     if (this.runner.state.role !== 'leader') throw new BeechliftError('noQuorum', 'this replica does not lead');
@@ -236,27 +237,27 @@
     };
   }
 
-  /** Requests that wait for a slot here, and those that hold one; none on one that follows. */
+  /** Counts the requests that wait for a slot, and those that hold one; none on a follower. */
   countRequests(): ReturnType<LeaderState['countRequests']> {
     return this.leaderState.countRequests();
   }
 
-  /** Backend servers that this replica knows, by where they stand. */
+  /** Counts the known backend servers by status. */
   countWorkers(): ReadonlyMap<WorkerStanding, number> {
     return countByStanding(this.softState.registry.table);
   }
 
-  /** Takes in what a backend server said of itself; false when no leader could be told. */
+  /** Applies an announcement of a backend server; `taken` is false if no leader received it. */
   announce(announcement: WorkerAnnouncement, isForwarded = false): Promise<AnnounceReply> {
     return this.announcementService.announce(announcement, isForwarded);
   }
 
-  /** Notes who answered while this replica looked for the site. */
+  /** Records a replica that answered while this one searched the site. */
   addDiscovered(replica: Replica): void {
     this.directory.addDiscovered(replica);
   }
 
-  /** Answers another replica that looks for the site. */
+  /** Answers another replica that searches the site. */
   meet({ from }: MeetRequest): MeetReply {
     if (from && this.runner.state.role === 'leader') this.replicaSetManager.recordJoinRequest(from);
     return {
@@ -267,7 +268,7 @@
     };
   }
 
-  /** Ends all that wait. */
+  /** Releases all held requests and stops the log. */
   stop(): Promise<void> {
     this.leaderWait.release();
     this.watches.release();
@@ -288,7 +289,7 @@
     return new LeaderState({ ...this.parts, suspects: this.suspects });
   }
 
-  /** Puts the limits of the document in force, which only a leader counts. */
+  /** Applies the account limits of the document; only a leader tracks them. */
   private configureAccounts(): void {
     const { routing } = this.parts.readRouting(this.site.document);
     if (routing) this.leaderState.configureAccounts(routing.accounts);
@@ -310,15 +311,16 @@
   }
 
   /*
-   * Guards the lease of a leader that was suspended: see the log's event. It is looked at before
-   * each answer that rests on the lease, as the first call after a wake may come before any tick.
+   * After a suspension of the VM the lease is not valid until it is renewed: see the `suspended`
+   * event of the log. This is checked before every answer that depends on the lease, as the first
+   * call after a resume may come before any tick.
    */
   private checkSuspension(): void {
     const epoch = this.parts.suspension.readEpoch();
     if (epoch === this.suspensionEpoch) return;
     this.suspensionEpoch = epoch;
     this.runner.handle({ kind: 'suspended' });
-    this.parts.logger.warn('clocks moved apart: leases are renewed before they are relied on');
+    this.parts.logger.warn('clocks diverged: the process was suspended, leases must be renewed');
   }
 
   private findAddress(id: string): string {
--- a/src/control/routedNodeParts.ts
+++ b/src/control/routedNodeParts.ts
@@ -10,7 +10,7 @@
 import type { Clock, SuspensionWatch } from '../utils/clock';
 import type { RecordCache } from './recordCache';
 
-/** How a node reaches the other replicas. */
+/** Calls to the other replicas, and the report of a disk failure. */
 export interface RoutedPort {
   readonly sendMessage: (message: LogMessage, address: string) => void;
   readonly publish: (request: PublishRequest, address: string) => Promise<PublishReply>;
@@ -19,31 +19,31 @@
   readonly failStorage: (error: unknown) => void;
 }
 
-/** What a node is made from. */
+/** Dependencies and settings of a node. */
 export interface RoutedNodeParts {
   readonly self: Replica;
   readonly founders: readonly Replica[];
   readonly stored: StoredLog;
   readonly store: LogStore;
-  /** Backend servers that were known before a restart. */
+  /** Backend servers that were cached before a restart. */
   readonly remembered: readonly WorkerRecord[];
   readonly memo: Pick<RecordCache<WorkerRecord>, 'note'>;
-  /** Requests that were suspected before a restart of having ended servers. */
+  /** Suspects that were cached before a restart. */
   readonly rememberedSuspects: readonly SuspectRecord[];
   readonly suspectMemo: Pick<RecordCache<SuspectRecord>, 'note'>;
   readonly readRouting: RoutingReader;
   readonly port: RoutedPort;
   readonly clock: Clock;
-  /** When this process started, by the same clock. */
+  /** When this process started, on the same clock. */
   readonly startedAt: number;
   readonly suspension: SuspensionWatch;
   readonly logger: Logger;
-  /** How long an entry may rely on what it was told, in milliseconds. */
+  /** Duration of the lease that a watch reply grants to an entry, in milliseconds. */
   readonly leaseMs: number;
-  /** Voters that the site is to have. */
+  /** Target number of voters of the site. */
   readonly voterCount: number;
-  /** What accounts may use beyond their limits, over all entries together. */
+  /** What accounts may use beyond their limits, summed over all entries. */
   readonly limitSlack: number;
-  /** All are on where none are named. */
+  /** Defaults to all mechanisms on. */
   readonly mechanisms?: Mechanisms;
 }
--- a/src/control/seedFounding.ts
+++ b/src/control/seedFounding.ts
@@ -2,36 +2,36 @@
 import type { MeetReply, Replica } from '../protocol/generated/beechlift';
 import type { ReplicaIdentity } from './replicaIdentity';
 
-/** How often seeds that do not know of each other yet ask again. */
+/** Interval at which seeds that have not found each other ask again, in milliseconds. */
 const POLL_MS = 50;
 
-/** What founding needs of a replica. */
+/** Dependencies of founding. */
 export interface SeedFoundingParts {
   readonly record: ReplicaIdentity;
   readonly readSelf: () => Replica;
-  /** gRPC addresses of the replicas that found the site. */
+  /** gRPC addresses of the founding replicas. */
   readonly seeds: readonly string[];
-  /** Whether the settings say that the site starts for the first time. */
+  /** Whether the settings declare the first start of the site. */
   readonly isFirstStart: boolean;
-  /** Asks another replica who it is; undefined when it does not answer. */
+  /** Asks another replica for its identity and founders; undefined if it does not answer. */
   readonly askSeed: (address: string) => Promise<MeetReply | undefined>;
 }
 
 /**
- * Decides with whom a replica begins: with the other seeds when the site starts for the first time,
- * or as a newcomer of a site that is there.
+ * Determines the initial voters of a replica: all seeds if the site starts for the first time, or
+ * none if the replica joins an existing site.
  *
- * Guards against two sites that both believe to be the one. The founders are the births of all
- * seeds, each of which was synced before it was told, and who finds a founder takes over its list.
- * A replica whose disk was lost has another birth than the list names, and joins as a newcomer.
+ * This prevents two separate sites from forming. The founders are the identities of all seeds, each
+ * synced before it was sent, and a seed that finds a founder adopts its list. A replica whose disk
+ * was lost has an identity that is not in the list, and joins the site as a new replica.
  *
  * @example
- * const founders = await new SeedFounding(parts).settle(); // empty: it joins
+ * const founders = await new SeedFounding(parts).waitForFounders(); // empty: it joins
  */
 export class SeedFounding {
   constructor(private readonly parts: SeedFoundingParts) {}
 
-  /** Resolves with the voters that the site begins with; empty for a newcomer. */
+  /** Resolves with the initial voters of the site; empty if this replica joins an existing site. */
   async waitForFounders(): Promise<readonly Replica[]> {
     const { record } = this.parts;
     if (record.founders) return record.founders;
@@ -46,8 +46,8 @@
     } = this.parts;
     const self = readSelf();
     const isSeed = seeds.includes(self.address);
-    // A founder that was killed before it could begin may be started again as if it were no first
-    // start: its birth shows that it was there.
+    // A founder that was killed before it could start may be restarted without the flag for a first
+    // start. Its stored identity shows that it is a founder.
     if (!isSeed || !(isFirstStart || record.existedAtStart)) return [];
     return this.poll(self, seeds.filter((address) => address !== self.address));
   }
--- a/src/control/softState.ts
+++ b/src/control/softState.ts
@@ -8,11 +8,11 @@
 import { SuspectRegistry } from './suspectRegistry';
 import { WorkerRegistry } from './workerRegistry';
 
-/** What the knowledge of a replica is made from. */
+/** Dependencies of the soft state. */
 export interface SoftStateParts extends Pick<RoutedNodeParts, | 'stored' | 'remembered' | 'memo' | 'rememberedSuspects' | 'suspectMemo' | 'clock' | 'logger'> {
-  /** Questions that are held until there is news. */
+  /** Watch requests that are held until there is an update. */
   readonly watches: HeldCalls;
-  /** Entries that ask. */
+  /** Counts the entries that send watch requests. */
   readonly countEntries: () => number;
 }
 
@@ -20,19 +20,19 @@
   entries.length > 0 || snapshot.data !== '');
 
 /**
- * What a replica knows of its site beside the log: the backend servers and the suspect requests. A
- * leader hears of them, the others follow it, and all remember them over a restart.
+ * State of a replica that is not in the log: the backend servers and the suspect requests. The
+ * leader receives them, followers copy them from the leader, and all cache them over a restart.
  *
  * @example
- * const known = new KnownSite({ ...parts, watches, countEntries });
- * setInterval(() => known.save(), TICK_MS);
+ * const softState = new SoftState({ ...parts, watches, countEntries });
+ * setInterval(() => softState.save(), TICK_MS);
  */
 export class SoftState {
   readonly registry: WorkerRegistry;
 
   readonly suspects: SuspectRegistry;
 
-  /** When a replica learns of the others what they remember. */
+  /** Decides when cached records of other replicas are accepted. */
   readonly recoveryWindow: RecoveryWindow;
 
   private readonly follower: LeaderFollower;
@@ -47,35 +47,35 @@
     });
   }
 
-  /** Entries that callers may be sent to, as the leader told of them. */
+  /** Lists the entries that accept callers, as last received from the leader. */
   listEntries(): readonly EntryRecord[] {
     return this.follower.listEntries();
   }
 
-  /** Writes what changed to the disk, now and then. */
+  /** Writes changed records to disk; writes are rate-limited. */
   save(): void {
     this.registry.save();
     this.suspects.save();
   }
 
-  /** Sets aside what is silent or old, on the replica that leads. */
+  /** Expires unresponsive servers and old suspects; runs on the leader only. */
   expire(): void {
     this.registry.expire();
     this.suspects.evaluate();
   }
 
-  /** Goes on with what is known, on a replica that has begun to lead. */
+  /** Continues with the current state on a replica that has become the leader. */
   startLeading(): void {
     this.registry.startLeading();
     this.recoveryWindow.markLeading();
   }
 
-  /** What the leader is asked with. */
+  /** Builds the watch request to the leader. */
   buildFollowRequest(documentDigest: string, holdMs: number): WatchRequest {
     return this.follower.buildRequest(documentDigest, holdMs);
   }
 
-  /** Takes in what the leader told. */
+  /** Applies a watch reply of the leader. */
   applyReply(reply: WatchReply): void {
     this.follower.applyReply(reply);
   }
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -18,36 +18,36 @@
 import type { HeldCalls } from '../utils/heldCalls';
 import type { RecordCache } from './recordCache';
 
-/** How often what is old is forgotten, in milliseconds. */
+/** Interval at which old suspects are removed, in milliseconds. */
 const EXPIRE_MS = 1_000;
 
-/** What the keeper needs. */
+/** Dependencies of the suspect registry. */
 export interface SuspectRegistryParts {
-  /** Requests that were suspected before a restart. */
+  /** Suspects that were cached before a restart. */
   readonly rememberedSuspects: readonly SuspectRecord[];
   readonly suspectMemo: Pick<RecordCache<SuspectRecord>, 'note'>;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Questions that are held until there is news. */
+  /** Watch requests that are held until there is an update. */
   readonly watches: HeldCalls;
-  /** Entries that ask. */
+  /** Counts the entries that send watch requests. */
   readonly countEntries: () => number;
 }
 
-/** What a reply says of suspect requests. */
+/** Fields of a watch reply that list the suspect requests. */
 export type SuspectPart = Pick<WatchReply, 'suspects' | 'suspectsRevision'>;
 
 /**
- * The requests that end backend servers, as one replica knows them: the leader hears of each end
- * and judges, the others follow its list, and all remember it over a restart.
+ * Requests that are suspected of crashing backend servers. The leader receives the crash reports
+ * and evaluates them, followers copy its list, and all replicas cache the list over a restart.
  *
  * @example
- * keeper.take(news); // entries hear of whoever is refused from then on
+ * suspects.take(message); // entries receive the changes in their next watch reply
  */
 export class SuspectRegistry {
   private table = makeCrashTable();
 
-  /** The leader's list, while this replica follows. */
+  /** Suspect list of the leader; used on followers. */
   private readonly leaderList = new SuspectList();
 
   private lastExpiryAt = 0;
@@ -56,12 +56,12 @@
     this.restore(parts.rememberedSuspects);
   }
 
-  /** What this replica holds of the leader's list. */
+  /** Version of the leader's list that this replica has. */
   get heldVersion(): SuspectListVersion {
     return this.leaderList.heldVersion;
   }
 
-  /** Takes in which servers ended under which requests, and which requests were served. */
+  /** Applies reports of servers that crashed while serving requests, and of served requests. */
   take({ sightings, served }: Pick<PlaceNews, 'sightings' | 'served'>): void {
     const now = this.parts.clock.now();
     sightings.forEach((sighting) => {
@@ -71,14 +71,14 @@
     this.announceChanges(served.flatMap((fingerprint) => recordServed(this.table, fingerprint, now)));
   }
 
-  /** Notes that a server announced itself: one that goes on did not end. */
+  /** Records an announcement of a server: it shows that the server did not crash. */
   noteAnnounced(announcement: WorkerAnnouncement): void {
     if (announcement.state === 'gone') return;
     const now = this.parts.clock.now();
     this.announceChanges(recordAnnouncement(this.table, formatIncarnation(announcement), announcement.sequence, now));
   }
 
-  /** Judges what has come in, and forgets what is old. */
+  /** Evaluates the crash reports, and removes old suspects. */
   evaluate(): void {
     const now = this.parts.clock.now();
     this.announceChanges(evaluateCrashes(this.table, now));
@@ -87,7 +87,7 @@
     this.announceChanges(expireSuspects(this.table, now));
   }
 
-  /** Tells how a request that asks for a place is to be treated. */
+  /** Finds the restriction that applies to a slot request. */
   findCaution(fingerprint: string): PlacementRestriction {
     const suspect = this.table.suspects.get(fingerprint);
     if (!suspect) return NO_RESTRICTION;
@@ -103,19 +103,19 @@
     };
   }
 
-  /** Requests that are watched or refused. */
+  /** Lists the requests that are watched or refused. */
   listSuspects(): readonly SuspectRecord[] {
     return listSuspects(this.table, this.parts.clock.now());
   }
 
-  /** Writes what changed to the disk, now and then. */
+  /** Writes changed suspects to disk; writes are rate-limited. */
   save(): void {
     const { suspectMemo, clock } = this.parts;
     if (this.table.revision === FIRST_REVISION) return;
     suspectMemo.note(`${this.leaderList.heldVersion.suspectsEpoch}/${this.table.revision}`, clock.now(), () => this.listSuspects());
   }
 
-  /** Takes over what the leader told a replica that follows. */
+  /** Applies the list in a watch reply of the leader on a follower. */
   applyReply(reply: WatchReply): void {
     if (!this.leaderList.apply(reply, this.parts.clock.now())) return;
     this.table = makeCrashTable();
@@ -123,27 +123,27 @@
     this.restore(reply.suspects);
   }
 
-  /** Whether a request that was suspected before a restart is treated here as any other. */
+  /** Whether a cached suspect is missing here, so that its requests are not restricted. */
   needsSuspect({ fingerprint }: SuspectRecord): boolean {
     return findStage(this.table, fingerprint, this.parts.clock.now()) === 'noted';
   }
 
-  /** Takes in what another replica remembered over a restart and this one did not. */
+  /** Adds suspects that another replica cached over a restart and that are missing here. */
   recover(records: readonly SuspectRecord[]): void {
     const missing = records.filter((record) => this.needsSuspect(record));
     if (missing.length === 0) return;
     this.restore(missing);
     this.table.revision += 1;
     this.parts.watches.releaseWithin(computeUpdateDelayMs(this.parts.countEntries()));
-    this.parts.logger.info('suspects recalled', { count: missing.length });
+    this.parts.logger.info('suspects recovered', { count: missing.length });
   }
 
-  /** Whether an asker that holds a list of this leader lacks something. */
+  /** Whether a client that has a list of this leader has an old version. */
   hasUpdates({ suspectsEpoch, suspectsRevision }: WatchRequest, epoch: string): boolean {
     return suspectsEpoch === epoch && suspectsRevision !== this.table.revision;
   }
 
-  /** What an asker lacks. */
+  /** Builds the suspect list for a client; empty if the client has the current version. */
   buildPart({ suspectsEpoch, suspectsRevision }: WatchRequest, epoch: string): SuspectPart {
     const { revision } = this.table;
     const isSame = suspectsEpoch === epoch && suspectsRevision === revision;
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -11,17 +11,17 @@
 import type { WorkerRegistry } from './workerRegistry';
 import type { WorkMeter } from './workMeter';
 
-/** Longest that a question is held, in milliseconds. */
+/** Longest time that a watch request is held, in milliseconds. */
 const MAX_HOLD_MS = 1_000;
 
-/** What a replica that follows is told in place of loads and loans. */
+/** Sent to followers, which need neither loads nor grants. */
 const NO_ENTRY_PART: EntryPart = { loads: [], grants: [], entryCount: 0 };
 
-/** What the replica knows at the moment of an answer. */
+/** State of this replica that a reply depends on. */
 export interface ReplicaView {
-  /** Whether this replica leads and no other can at this moment. */
+  /** Whether this replica leads and holds the lease, so that no other replica can lead. */
   readonly isLeading: boolean;
-  /** gRPC address of another replica that is known to lead; empty when there is none. */
+  /** gRPC address of another replica that leads; empty if none is known. */
   readonly otherLeader: string;
   /** gRPC addresses of all replicas of the site. */
   readonly replicaAddresses: readonly string[];
@@ -29,7 +29,7 @@
   readonly leaderState: LeaderState;
 }
 
-/** What the desk needs. */
+/** Dependencies of the watch service. */
 export interface WatchServiceParts {
   readonly readView: () => ReplicaView;
   readonly registry: WorkerRegistry;
@@ -40,16 +40,16 @@
   readonly work: WorkMeter;
   /** gRPC address of this replica. */
   readonly address: string;
-  /** How long an entry may rely on what it was told, in milliseconds. */
+  /** Duration of the lease that a reply grants to an entry, in milliseconds. */
   readonly leaseMs: number;
 }
 
 /**
- * Where entries, and replicas that follow, ask the leader all the time. A question is held until
- * there is news; its answer renews the lease of an entry.
+ * Answers the watch requests (long polls) of entries and followers. A request is held until there
+ * is an update; the reply renews the lease of an entry.
  *
  * @example
- * const reply = await desk.watch(request);
+ * const reply = await watchService.watch(request);
  */
 export class WatchService {
   private readonly packer = new DocumentPacker();
@@ -58,7 +58,7 @@
 
   constructor(private readonly parts: WatchServiceParts) {}
 
-  /** Answers a question; a replica that does not lead names the one that does. */
+  /** Answers a watch request; a replica that does not lead returns the address of the leader. */
   async watch(request: WatchRequest): Promise<WatchReply> {
     const { readView, watches, work } = this.parts;
     const view = readView();
@@ -70,13 +70,14 @@
       await this.awaitRecovery();
     }
     if (!this.hasUpdates(request)) await watches.hold(Math.min(MAX_HOLD_MS, request.holdMs));
-    // All entries are answered at a change, and all ask a new leader: its heartbeats go in between.
+    // A change answers all entries at once, and all entries ask a new leader at once: yielding
+    // between replies lets the heartbeats of the log go out.
     await this.turns.wait();
     if (!readView().isLeading) return this.buildNotLeadingReply();
     return work.measure('watch', () => this.buildReply(request));
   }
 
-  /** Takes in what a replica that follows remembered over a restart. */
+  /** Applies the records that a follower cached over a restart. */
   private recoverRecords({ rememberedWorkers, rememberedSuspects }: WatchRequest): void {
     const { registry, suspects, recall } = this.parts;
     if (!recall.isOpen) return;
@@ -85,8 +86,8 @@
   }
 
   /*
-   * Guards entries against a leader that knows no backend server after a restart: they would refuse
-   * all requests, while another replica is about to tell the servers that it remembers.
+   * After a restart, a leader may have no backend servers while another replica is about to report
+   * its cached ones. Entries wait for these; with an empty list they would refuse all requests.
    */
   private async awaitRecovery(): Promise<void> {
     const { registry, recall, watches } = this.parts;
@@ -96,7 +97,7 @@
     await this.awaitRecovery();
   }
 
-  /** Holds a question while no leader is known, so that who asks learns of one at once. */
+  /** Holds a request while no leader is known, so that the client gets its address at once. */
   private async awaitLeader(request: WatchRequest): Promise<WatchReply> {
     const { readView, leaderWait } = this.parts;
     await leaderWait.wait(Math.min(MAX_HOLD_MS, request.holdMs));
@@ -131,7 +132,7 @@
       controlAddresses: [...replicaAddresses],
       documentDigest: site.digest,
       documentVersion: site.version,
-      // A replica that follows has the document from the log.
+      // Followers get the document from the log.
       ...(isEntry && request.documentDigest !== site.digest
         ? this.packer.build(site)
         : NO_DOCUMENT_PART),
--- a/src/control/workMeter.ts
+++ b/src/control/workMeter.ts
@@ -1,21 +1,21 @@
 import type { Logger } from '../telemetry/logger';
 import type { Clock } from '../utils/clock';
 
-/** Kinds of work whose time is told apart. */
+/** Kinds of work that are measured separately. */
 export const WORK_KINDS = ['watch', 'place', 'announce', 'tend'] as const;
 export type WorkKind = typeof WORK_KINDS[number];
 
-/** What one kind of work came to since the start. */
+/** Total of one kind of work since the start. */
 export interface WorkCount {
   readonly count: number;
-  /** Milliseconds in which it held the processor, what others took of it meanwhile included. */
+  /** Elapsed milliseconds; includes time in which other processes used the CPU. */
   readonly ms: number;
 }
 
-/** All that a meter counted up to a moment. */
+/** Totals of all kinds of work. */
 export type WorkCounts = Readonly<Record<WorkKind, WorkCount>>;
 
-/** How often a leader tells what it worked on, in milliseconds. */
+/** Interval at which a leader logs its work, in milliseconds. */
 const LOG_INTERVAL_MS = 5_000;
 
 const NOTHING: WorkCount = { count: 0, ms: 0 };
@@ -25,8 +25,8 @@
 );
 
 /**
- * Counts what a control replica works on. It shows which work fills a leader whose answers come
- * late: of a leader without a free moment, its logs told neither that nor why.
+ * Measures the work of a control replica by kind. The log of a leader with late replies then shows
+ * that it is overloaded, and by which work.
  *
  * @example
  * const reply = meter.measure('watch', () => this.buildReply(request));
@@ -36,14 +36,14 @@
 
   private loggedCounts = makeCounts(() => NOTHING);
 
-  /** The latest that the loop came to its timer since it was last told, in milliseconds. */
+  /** Longest delay of the timer since the last log line, in milliseconds. */
   private mostLateMs = 0;
 
   private tickedAt: number;
 
   private loggedAt: number;
 
-  /** @param tickMs how often `noteTick` is called, in milliseconds */
+  /** @param tickMs interval at which `recordTick` is called, in milliseconds */
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
@@ -64,19 +64,19 @@
     }
   }
 
-  /** Notes how late the loop comes to its timer: the time for which all else waits, too. */
+  /** Records the delay of the timer, which equals the delay of all other work in the event loop. */
   recordTick(): void {
     const now = this.clock.now();
     this.mostLateMs = Math.max(this.mostLateMs, now - this.tickedAt - this.tickMs);
     this.tickedAt = now;
   }
 
-  /** What was counted since the start. */
+  /** Returns the totals since the start. */
   read(): WorkCounts {
     return makeCounts((kind) => this.counts.get(kind) ?? NOTHING);
   }
 
-  /** Writes a line on what came since the one before, if it is time. */
+  /** Logs the work since the last log line, if the interval is over. */
   logCounts(): void {
     const now = this.clock.now();
     if (now - this.loggedAt < LOG_INTERVAL_MS) return;
--- a/src/control/workerRegistry.ts
+++ b/src/control/workerRegistry.ts
@@ -12,25 +12,25 @@
 import type { HeldCalls } from '../utils/heldCalls';
 import type { RecordCache } from './recordCache';
 
-/** What the registry needs. */
+/** Dependencies of the registry. */
 export interface WorkerRegistryParts {
-  /** Backend servers that were known before a restart. */
+  /** Backend servers that were cached before a restart. */
   readonly remembered: readonly WorkerRecord[];
   readonly memo: Pick<RecordCache<WorkerRecord>, 'note'>;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Questions that are held until there is news. */
+  /** Watch requests that are held until there is an update. */
   readonly watches: HeldCalls;
-  /** Entries that ask. */
+  /** Counts the entries that send watch requests. */
   readonly countEntries: () => number;
 }
 
 /**
- * The backend servers of a site, as one replica knows them: the leader hears them, the others
- * follow its table, and all remember it over a restart.
+ * The backend servers of a site. The leader receives their announcements, followers copy its table,
+ * and all replicas cache the table over a restart.
  *
  * @example
- * registry.take(announcement); // whoever asks for news hears of it
+ * registry.take(announcement); // held watch requests are answered with the change
  */
 export class WorkerRegistry {
   table: WorkerTable = makeWorkerTable(randomUUID());
@@ -39,7 +39,7 @@
     this.addRecords(parts.remembered);
   }
 
-  /** Takes in what a backend server said of itself. */
+  /** Applies an announcement of a backend server. */
   take(announcement: WorkerAnnouncement): void {
     const { revision } = this.table;
     applyAnnouncement(this.table, announcement, this.parts.clock.now());
@@ -55,48 +55,48 @@
     });
   }
 
-  /** Sets silent servers aside. */
+  /** Marks servers as silent that stopped announcing themselves. */
   expire(): void {
     const { revision } = this.table;
     expireWorkers(this.table, this.parts.clock.now());
     if (this.table.revision !== revision) this.scheduleUpdates();
   }
 
-  /** Writes what changed to the disk, now and then. */
+  /** Writes changed servers to disk; writes are rate-limited. */
   save(): void {
     const { memo, clock } = this.parts;
     memo.note(`${this.table.epoch}/${this.table.revision}`, clock.now(), () => listChangedWorkers(this.table, '', 0));
   }
 
-  /** Takes over what the leader told a replica that follows. */
+  /** Applies the servers in a watch reply of the leader on a follower. */
   applyReply({ workers, workersEpoch, workersRevision }: WatchReply): void {
     if (this.table.epoch !== workersEpoch) this.table = makeWorkerTable(workersEpoch);
     this.addRecords(workers);
     this.table.revision = workersRevision;
   }
 
-  /** Begins a table of its own with what is known, for a replica that has begun to lead. */
+  /** Starts a table of its own with the known servers, on a replica that has become the leader. */
   startLeading(): void {
     const records = listChangedWorkers(this.table, '', 0);
     this.table = makeWorkerTable(randomUUID());
     this.addRecords(records);
   }
 
-  /** Takes in what another replica remembered over a restart and this one did not. */
+  /** Adds servers that another replica cached over a restart and that are missing here. */
   recover(records: readonly WorkerRecord[]): void {
     const missing = records.filter((record) => needsRecord(this.table, record));
     if (missing.length === 0) return;
     this.addRecords(missing);
     this.scheduleUpdates();
-    this.parts.logger.info('backend servers recalled', { count: missing.length });
+    this.parts.logger.info('backend servers recovered', { count: missing.length });
   }
 
-  /** Whether an asker lacks something. */
+  /** Whether a client has an old version of the table. */
   hasUpdates({ workersEpoch, workersRevision }: WatchRequest): boolean {
     return workersEpoch !== this.table.epoch || workersRevision !== this.table.revision;
   }
 
-  /** What an asker lacks. */
+  /** Builds the part of a watch reply with the servers that changed since the client's version. */
   buildPart(request: WatchRequest): Pick<WatchReply, 'workers' | 'workersEpoch' | 'workersRevision'> {
     const { epoch, revision } = this.table;
     return {
