--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -97,7 +97,7 @@
   private buildList(): void {
     this.isListStale = false;
     const records = [...this.entries.values()]
-      .filter(({ record, isResponsive: isResponsive }) => isResponsive && record.state === 'active')
+      .filter(({ record, isResponsive }) => isResponsive && record.state === 'active')
       .map(({ record }) => record);
     if (isDeepStrictEqual(records, this.activeRecords)) return;
     this.activeRecords = records;
--- a/src/control/joinRequests.ts
+++ b/src/control/joinRequests.ts
@@ -24,7 +24,7 @@
 
   /** Lists the replicas whose requests have not expired. */
   list(now: number): Replica[] {
-    this.requests.forEach(({ receivedAt: receivedAt }, id) => {
+    this.requests.forEach(({ receivedAt }, id) => {
       if (now - receivedAt > REQUEST_TTL_MS) this.requests.delete(id);
     });
     return [...this.requests.values()].map(({ replica }) => replica);
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -73,7 +73,7 @@
   /** Drops cached records that the leader has, and all of them when the report time is over. */
   private removeReported(): void {
     const { registry, suspects, recall } = this.parts;
-    const { isReporting: isReporting } = recall;
+    const { isReporting } = recall;
     this.unreportedWorkers = this.unreportedWorkers
       .filter((record) => isReporting && needsRecord(registry.table, record));
     this.unreportedSuspects = this.unreportedSuspects
--- a/src/control/placementService.ts
+++ b/src/control/placementService.ts
@@ -101,7 +101,7 @@
   /** Requests slots; each decision is made now or when a slot becomes free. */
   requestSlots(requests: readonly PlaceRequest[], stream: PlacementStream): void {
     const now = this.parts.clock.now();
-    requests.forEach((request) => this.pending.set(request.placeId, { stream: stream, request }));
+    requests.forEach((request) => this.pending.set(request.placeId, { stream, request }));
     this.deliver(requestSlots(this.tables, requests.map((request) => toSlotRequest(request, now)), now));
   }
 
@@ -136,7 +136,7 @@
     const now = this.parts.clock.now();
     expirePlaced(this.tables, isConnected, now);
     this.deliver(placeWaiting(this.tables, now));
-    new Set([...this.pending.values()].map(({ stream: stream }) => stream)).forEach((stream) => stream.keepAlive());
+    new Set([...this.pending.values()].map(({ stream }) => stream)).forEach((stream) => stream.keepAlive());
   }
 
   /** Closes a stream: frees the slots whose grants were not sent, and drops waiting requests. */
--- a/src/control/recoveryWindow.ts
+++ b/src/control/recoveryWindow.ts
@@ -41,7 +41,7 @@
 
   /** Whether this replica reports its cached records to the leader. */
   get isReporting(): boolean {
-    const { followingSince: followingSince } = this;
+    const { followingSince } = this;
     return followingSince === undefined || this.clock.now() - followingSince <= REPORT_MS;
   }
 
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -79,7 +79,7 @@
     this.work = new WorkMeter(parts.clock, parts.logger, TICK_MS);
     const countEntries = () => this.leaderState.countEntries();
     this.softState = new SoftState({ ...parts, watches: this.watches, countEntries });
-    const { registry, suspects, recoveryWindow: recoveryWindow } = this.softState;
+    const { registry, suspects, recoveryWindow } = this.softState;
     this.leaderState = this.makeLeaderState();
     this.replicaSetManager = new ReplicaSetManager(parts.voterCount, parts.clock, parts.logger);
     this.leaderWait = new LeaderWait(() => this.isLeading || this.isOtherLeaderKnown);
@@ -229,7 +229,7 @@
    */
   openPlacementStream(sink: PlacementSink): PlacementMessageHandlers {
     if (this.runner.state.role !== 'leader') throw new BeechliftError('noQuorum', 'this replica does not lead');
-    const { leaderState: leaderState, softState: { registry } } = this;
+    const { leaderState, softState: { registry } } = this;
     const placementStream = leaderState.openStream(sink);
     return {
       take: (message) => this.work.measure('place', () => leaderState.handleMessage(placementStream, message, registry.table)),
--- a/src/control/softState.ts
+++ b/src/control/softState.ts
@@ -41,7 +41,7 @@
     this.registry = new WorkerRegistry(parts);
     this.suspects = new SuspectRegistry(parts);
     this.recoveryWindow = new RecoveryWindow(parts.clock, hasLog(parts.stored));
-    const { registry, suspects, recoveryWindow: recoveryWindow } = this;
+    const { registry, suspects, recoveryWindow } = this;
     this.follower = new LeaderFollower({
       ...parts, registry, suspects, recall: recoveryWindow,
     });
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -122,7 +122,7 @@
     const {
       readView, registry, suspects, leaseMs,
     } = this.parts;
-    const { site, leaderState: leaderState, replicaAddresses } = readView();
+    const { site, leaderState, replicaAddresses } = readView();
     const isEntry = request.entryId !== '';
     return {
       ...(isEntry ? leaderState.buildEntryPart(request) : NO_ENTRY_PART),
--- a/src/control/workMeter.ts
+++ b/src/control/workMeter.ts
@@ -80,7 +80,7 @@
   logCounts(): void {
     const now = this.clock.now();
     if (now - this.loggedAt < LOG_INTERVAL_MS) return;
-    const { loggedCounts: loggedCounts, mostLateMs } = this;
+    const { loggedCounts, mostLateMs } = this;
     const counts = this.read();
     const fields = WORK_KINDS.flatMap((kind): [string, number][] => [
       [`${kind}Count`, counts[kind].count - loggedCounts[kind].count],
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -188,14 +188,14 @@
   }
 
   private findLeader(): ReplicaProcess | undefined {
-    return this.machines.map(({ replica: replica }) => replica).find((replica) => replica?.runner.holdsLease);
+    return this.machines.map(({ replica }) => replica).find((replica) => replica?.runner.holdsLease);
   }
 
   /** Formats the view of each machine; lost identities are marked. */
   private formatState(): string {
     const formatIds = (replicas: readonly Replica[]) => replicas.map(({ id }) => (
       `${this.findAddress(id)}${this.lostIdentities.has(id) ? ' gone' : ''}`)).join(', ');
-    return this.machines.map(({ address, replica: replica }) => {
+    return this.machines.map(({ address, replica }) => {
       if (!replica) return `${address} down`;
       const { role, term, replicas } = replica.runner.state;
       const sets = `voters ${formatIds(replicas.voters)}; learners ${formatIds(replicas.learners)}`;
@@ -216,7 +216,7 @@
   }
 
   private listVoters(): Set<string> {
-    return new Set(this.machines.flatMap(({ replica: replica }) => (
+    return new Set(this.machines.flatMap(({ replica }) => (
       replica?.runner.state.replicas.voters.map(({ id }) => id) ?? [])));
   }
 
@@ -243,7 +243,7 @@
     this.machines.filter(({ isFrozen }) => !isFrozen).forEach((machine) => this.tick(machine));
   }
 
-  private tick({ replica: replica }: ModelMachine): void {
+  private tick({ replica }: ModelMachine): void {
     if (!replica) return;
     replica.runner.handle({ kind: 'tick' });
     if (!replica.runner.holdsLease) {
@@ -258,9 +258,9 @@
 
   private requestJoin({ self, runner: { state } }: ReplicaProcess): void {
     if (state.role === 'leader' || this.now - state.lastLeaderContactAt <= CONTACT_TIMEOUT_MS) return;
-    const leaders = this.machines.filter(({ replica: replica, isFrozen }) => (
+    const leaders = this.machines.filter(({ replica, isFrozen }) => (
       !isFrozen && replica?.runner.state.role === 'leader'));
-    leaders.forEach(({ replica: replica }) => replica?.replicaSetManager.recordJoinRequest(self));
+    leaders.forEach(({ replica }) => replica?.replicaSetManager.recordJoinRequest(self));
   }
 
   private async runRounds(count: number, ms: number): Promise<void> {
@@ -288,7 +288,7 @@
     machine.replica.runner.handle({ kind: 'message', message: pending.message });
   }
 
-  private publish({ replica: replica, isFrozen }: ModelMachine): void {
+  private publish({ replica, isFrozen }: ModelMachine): void {
     if (isFrozen || !replica?.runner.holdsLease) return;
     this.published += 1;
     const version = this.published;
--- a/tests/control/suspect-updates.spec.ts
+++ b/tests/control/suspect-updates.spec.ts
@@ -10,7 +10,7 @@
   // No order of partitions, lost leaders and restarts may let such a request reach more servers.
   it('should keep such a request from all entries in touch, and nobody who did nothing', () => {
     const runs = runSearch(fc.property(drawSteps, (steps) => {
-      const { lateSends, breaches, falselyRefused: falselyRefused } = new SuspectModel().run(steps);
+      const { lateSends, breaches, falselyRefused } = new SuspectModel().run(steps);
       expect(lateSends).toBeLessThanOrEqual(MAX_LATE_SENDS);
       expect(breaches).toBe(0);
       expect(falselyRefused).toEqual([]);
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -95,7 +95,7 @@
     const falselyRefused = this.entries.flatMap(({ list }) => [...this.crashCounts]
       .filter(([name, crashes]) => crashes < 3 && (list.find(name, this.now)?.refusedMs ?? 0) > 0)
       .map(([name]) => name));
-    return { lateSends: this.lateSends, breaches: this.breaches, falselyRefused: falselyRefused };
+    return { lateSends: this.lateSends, breaches: this.breaches, falselyRefused };
   }
 
   private perform(step: ModelStep): void {
@@ -134,7 +134,7 @@
     return this.isReachable(entry) && this.now - third > REACHABLE_MS;
   }
 
-  private isReachable({ isCut, undisturbedSince: undisturbedSince }: ModelEntry): boolean {
+  private isReachable({ isCut, undisturbedSince }: ModelEntry): boolean {
     return !isCut && this.now - Math.max(undisturbedSince, this.leadsSince) > REACHABLE_MS;
   }
 
--- a/tests/control/watch-service.spec.ts
+++ b/tests/control/watch-service.spec.ts
@@ -53,7 +53,7 @@
         return ['10.0.0.1:7100'];
       },
       site: NO_DOCUMENT,
-      leaderState: leaderState,
+      leaderState,
     }),
   });
   return { desk: service, workersEpoch: registry.table.epoch };
