--- a/src/control/announcementService.ts
+++ b/src/control/announcementService.ts
@@ -15,12 +15,12 @@
 
 /** Dependencies of the announcement service. */
 export interface AnnouncementServiceParts {
-  readonly gate: Pick<AnnouncementValidator, 'check'>;
+  readonly validator: Pick<AnnouncementValidator, 'check'>;
   readonly registry: Pick<WorkerRegistry, 'take'>;
-  readonly suspects: Pick<SuspectRegistry, 'noteAnnounced'>;
+  readonly suspects: Pick<SuspectRegistry, 'handleAnnouncement'>;
   readonly leaderWait: Pick<LeaderWait, 'wait'>;
   readonly work: Pick<WorkMeter, 'measure'>;
-  readonly readView: () => Pick<ReplicaView, 'isLeading' | 'otherLeader'>;
+  readonly readView: () => Pick<ReplicaView, 'isLeading' | 'otherLeaderAddress'>;
   readonly port: Pick<RoutedPort, 'announce'>;
 }
 
@@ -42,15 +42,15 @@
    */
   async announce(announcement: WorkerAnnouncement, isForwarded: boolean): Promise<AnnounceReply> {
     const {
-      gate, registry, suspects, leaderWait, work, readView, port,
+      validator, registry, suspects, leaderWait, work, readView, port,
     } = this.parts;
-    gate.check(announcement);
+    validator.check(announcement);
     await leaderWait.wait(LEADER_WAIT_MS);
-    const { isLeading, otherLeader: otherLeaderAddress } = readView();
+    const { isLeading, otherLeaderAddress } = readView();
     if (isLeading) {
       work.measure('announce', () => {
         registry.take(announcement);
-        suspects.noteAnnounced(announcement);
+        suspects.handleAnnouncement(announcement);
       });
       return { taken: true };
     }
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -12,7 +12,7 @@
 export interface LeaderFollowerParts {
   readonly registry: WorkerRegistry;
   readonly suspects: SuspectRegistry;
-  readonly recall: RecoveryWindow;
+  readonly recoveryWindow: RecoveryWindow;
   /** Records that this replica had cached on disk when it started. */
   readonly remembered: readonly WorkerRecord[];
   readonly rememberedSuspects: readonly SuspectRecord[];
@@ -62,8 +62,8 @@
 
   /** Applies a watch reply of the leader. */
   applyReply(reply: WatchReply): void {
-    const { registry, suspects, recall } = this.parts;
-    recall.markFollowing();
+    const { registry, suspects, recoveryWindow } = this.parts;
+    recoveryWindow.markFollowing();
     this.entries.apply(reply);
     registry.applyReply(reply);
     suspects.applyReply(reply);
@@ -72,8 +72,8 @@
 
   /** Drops cached records that the leader has, and all of them when the report time is over. */
   private removeReported(): void {
-    const { registry, suspects, recall } = this.parts;
-    const { isReporting } = recall;
+    const { registry, suspects, recoveryWindow } = this.parts;
+    const { isReporting } = recoveryWindow;
     this.unreportedWorkers = this.unreportedWorkers
       .filter((record) => isReporting && needsRecord(registry.table, record));
     this.unreportedSuspects = this.unreportedSuspects
--- a/src/control/leaderState.ts
+++ b/src/control/leaderState.ts
@@ -25,7 +25,7 @@
   /** What accounts may use beyond their limits, summed over all entries. */
   readonly limitSlack: number;
   /** Receives reports of crashes; if it is missing, no request is suspected. */
-  readonly suspects?: Pick<SuspectRegistry, 'take' | 'findCaution'> | undefined;
+  readonly suspects?: Pick<SuspectRegistry, 'applyReports' | 'findRestriction'> | undefined;
   /** Defaults to all mechanisms on. */
   readonly mechanisms?: Mechanisms | undefined;
 }
@@ -69,7 +69,7 @@
     this.placementService = new PlacementService({
       clock: parts.clock,
       mechanisms: parts.mechanisms,
-      findRestriction: (fingerprint) => parts.suspects?.findCaution(fingerprint) ?? NO_RESTRICTION,
+      findRestriction: (fingerprint) => parts.suspects?.findRestriction(fingerprint) ?? NO_RESTRICTION,
       handleUnplaced: ({ account, cost }) => this.ledger.refund(account, cost),
     });
   }
@@ -139,7 +139,7 @@
     this.applyWorkerChanges(workers);
     stream.acknowledge(message.number, message.requests.length > 0);
     // Before free slots are granted again: a crashed request must not get another server.
-    this.parts.suspects?.take(message);
+    this.parts.suspects?.applyReports(message);
     this.placementService.applyReports(message.reports);
     if (message.entryId !== '') {
       stream.entryId = message.entryId;
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -90,13 +90,13 @@
       ...parts,
       registry,
       suspects,
-      recall: recoveryWindow,
+      recoveryWindow,
       watches: this.watches,
       leaderWait: this.leaderWait,
       work: this.work,
       readView: () => this.readView(),
     };
-    this.announcementService = new AnnouncementService({ ...serviceParts, gate: this.announcementValidator });
+    this.announcementService = new AnnouncementService({ ...serviceParts, validator: this.announcementValidator });
     this.watchService = new WatchService({ ...serviceParts, address: parts.self.address });
     this.directory = new ReplicaDirectory(parts.founders);
     this.suspensionEpoch = parts.suspension.readEpoch();
@@ -278,7 +278,7 @@
   private readView(): ReplicaView {
     return {
       isLeading: this.isLeading,
-      otherLeader: this.isOtherLeaderKnown ? this.leaderAddress : '',
+      otherLeaderAddress: this.isOtherLeaderKnown ? this.leaderAddress : '',
       replicaAddresses: this.replicaAddresses,
       site: this.site,
       leaderState: this.leaderState,
--- a/src/control/softState.ts
+++ b/src/control/softState.ts
@@ -43,7 +43,7 @@
     this.recoveryWindow = new RecoveryWindow(parts.clock, hasLog(parts.stored));
     const { registry, suspects, recoveryWindow } = this;
     this.follower = new LeaderFollower({
-      ...parts, registry, suspects, recall: recoveryWindow,
+      ...parts, registry, suspects, recoveryWindow,
     });
   }
 
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -42,7 +42,7 @@
  * and evaluates them, followers copy its list, and all replicas cache the list over a restart.
  *
  * @example
- * suspects.take(message); // entries receive the changes in their next watch reply
+ * suspects.applyReports(message); // entries receive the changes in their next watch reply
  */
 export class SuspectRegistry {
   private table = makeCrashTable();
@@ -62,7 +62,7 @@
   }
 
   /** Applies reports of servers that crashed while serving requests, and of served requests. */
-  take({ sightings, served }: Pick<PlaceNews, 'sightings' | 'served'>): void {
+  applyReports({ sightings, served }: Pick<PlaceNews, 'sightings' | 'served'>): void {
     const now = this.parts.clock.now();
     sightings.forEach((sighting) => {
       const { fingerprint, ageMs } = sighting;
@@ -72,7 +72,7 @@
   }
 
   /** Records an announcement of a server: it shows that the server did not crash. */
-  noteAnnounced(announcement: WorkerAnnouncement): void {
+  handleAnnouncement(announcement: WorkerAnnouncement): void {
     if (announcement.state === 'gone') return;
     const now = this.parts.clock.now();
     this.announceChanges(recordAnnouncement(this.table, formatIncarnation(announcement), announcement.sequence, now));
@@ -88,7 +88,7 @@
   }
 
   /** Finds the restriction that applies to a slot request. */
-  findCaution(fingerprint: string): PlacementRestriction {
+  findRestriction(fingerprint: string): PlacementRestriction {
     const suspect = this.table.suspects.get(fingerprint);
     if (!suspect) return NO_RESTRICTION;
     const now = this.parts.clock.now();
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -22,7 +22,7 @@
   /** Whether this replica leads and holds the lease, so that no other replica can lead. */
   readonly isLeading: boolean;
   /** gRPC address of another replica that leads; empty if none is known. */
-  readonly otherLeader: string;
+  readonly otherLeaderAddress: string;
   /** gRPC addresses of all replicas of the site. */
   readonly replicaAddresses: readonly string[];
   readonly site: SiteDocument;
@@ -34,7 +34,7 @@
   readonly readView: () => ReplicaView;
   readonly registry: WorkerRegistry;
   readonly suspects: SuspectRegistry;
-  readonly recall: RecoveryWindow;
+  readonly recoveryWindow: RecoveryWindow;
   readonly watches: HeldCalls;
   readonly leaderWait: LeaderWait;
   readonly work: WorkMeter;
@@ -79,8 +79,8 @@
 
   /** Applies the records that a follower cached over a restart. */
   private recoverRecords({ rememberedWorkers, rememberedSuspects }: WatchRequest): void {
-    const { registry, suspects, recall } = this.parts;
-    if (!recall.isOpen) return;
+    const { registry, suspects, recoveryWindow } = this.parts;
+    if (!recoveryWindow.isOpen) return;
     registry.recover(rememberedWorkers);
     suspects.recover(rememberedSuspects);
   }
@@ -90,8 +90,8 @@
    * its cached ones. Entries wait for these; with an empty list they would refuse all requests.
    */
   private async awaitRecovery(): Promise<void> {
-    const { registry, recall, watches } = this.parts;
-    const { holdMs } = recall;
+    const { registry, recoveryWindow, watches } = this.parts;
+    const { holdMs } = recoveryWindow;
     if (holdMs === 0 || registry.table.workers.size > 0) return;
     await watches.hold(holdMs);
     await this.awaitRecovery();
@@ -112,7 +112,7 @@
   }
 
   private buildNotLeadingReply(): WatchReply {
-    const { otherLeader: otherLeaderAddress, replicaAddresses } = this.parts.readView();
+    const { otherLeaderAddress, replicaAddresses } = this.parts.readView();
     return WatchReplyCodec.fromPartial({
       leaderAddress: otherLeaderAddress, controlAddresses: [...replicaAddresses],
     });
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -95,7 +95,7 @@
       send: (message: LogMessage) => {
         this.network.push({ message, address: this.findAddress(message.to) });
       },
-      noteFailure: (failure: string) => {
+      recordFailure: (failure: string) => {
         this.failures.push(failure);
       },
     };
--- a/tests/control/announcement-validator.spec.ts
+++ b/tests/control/announcement-validator.spec.ts
@@ -20,7 +20,7 @@
     readRouting: () => ({ routing: makeRouting({}), faults: [] }),
     logger: makeLogger('test', 'silent'),
   });
-  return { gate: validator, table };
+  return { validator, table };
 };
 
 describe('announcements of another writer', () => {
@@ -33,7 +33,7 @@
    * requests.
    */
   it('should be refused for a service that no route knows, and leave its address alone', () => {
-    const { gate: validator, table } = makeValidator(site);
+    const { validator, table } = makeValidator(site);
     applyAnnouncement(table, makeAnnouncement('good', routed), 0);
     expect(() => validator.check(makeAnnouncement('forged', 'elsewhere'))).toThrow(expect.objectContaining({ code: 'unknownService' }));
     expect(() => validator.check(makeAnnouncement('good', '__proto__'))).toThrow(expect.objectContaining({ code: 'unknownService' }));
@@ -43,14 +43,14 @@
 
   // After a document removes a service, its servers must still be able to announce their departure.
   it('should be taken from a server that is known with its service, and before any document', () => {
-    const { gate: validator, table } = makeValidator(site);
+    const { validator, table } = makeValidator(site);
     applyAnnouncement(table, makeAnnouncement('good', 'dropped'), 0);
     expect(() => validator.check(makeAnnouncement('good', 'dropped'))).not.toThrow();
-    expect(() => makeValidator().gate.check(makeAnnouncement('early', 'not known yet'))).not.toThrow();
+    expect(() => makeValidator().validator.check(makeAnnouncement('early', 'not known yet'))).not.toThrow();
   });
 
   it('should be counted by code', () => {
-    const { gate: validator } = makeValidator(site);
+    const { validator } = makeValidator(site);
     validator.countRefusal(new BeechliftError('announcementInvalid', '/born: must be integer'), 'w1');
     validator.countRefusal(new BeechliftError('announcementInvalid', '/slots: must be integer'), 'w1');
     validator.countRefusal(new BeechliftError('malformedJson', 'no JSON'), 'w2');
--- a/tests/control/modelMachine.ts
+++ b/tests/control/modelMachine.ts
@@ -25,7 +25,7 @@
   readonly voterCount: number;
   readonly send: (message: LogMessage) => void;
   /** Called when a machine cannot start, or its disk fails. */
-  readonly noteFailure: (failure: string) => void;
+  readonly recordFailure: (failure: string) => void;
 }
 
 const FOLDER = 'data';
@@ -62,7 +62,7 @@
     if (this.isUp) return;
     this.isUp = true;
     this.startProcess(this.starts).catch((error: unknown) => {
-      this.site.noteFailure(`${this.address} does not start: ${(error as Error).message}`);
+      this.site.recordFailure(`${this.address} does not start: ${(error as Error).message}`);
     });
   }
 
@@ -116,7 +116,7 @@
 
   private makeProcess(self: Replica, start: number, store: LogStore, stored: StoredLog): ReplicaProcess {
     const {
-      clock, voterCount, send, noteFailure,
+      clock, voterCount, send, recordFailure,
     } = this.site;
     const replica: ReplicaProcess = {
       self,
@@ -139,7 +139,7 @@
         handleRoleChange: (role) => {
           if (role === 'leader') replica.leadingSince = clock.now();
         },
-        failStorage: (error) => noteFailure(`${self.address}: ${String(error)}`),
+        failStorage: (error) => recordFailure(`${self.address}: ${String(error)}`),
       }, clock, { startedAt: clock.now() }),
     };
     return replica;
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -17,7 +17,7 @@
 const FATAL = 'fatal';
 
 /** One step of a run. */
-export type ModelStep = | { readonly kind: 'send'; readonly entry: number; readonly beside: number }
+export type ModelStep = | { readonly kind: 'send'; readonly entry: number; readonly companions: number }
   | { readonly kind: 'pause'; readonly ms: number }
   | { readonly kind: 'cutOrJoin' | 'restartEntry'; readonly entry: number }
   | { readonly kind: 'loseLeader'; readonly next: number }
@@ -27,7 +27,7 @@
 
 /** Steps of a run in which the fatal request is sent repeatedly. */
 export const drawSteps: fc.Arbitrary<ModelStep[]> = fc.array(fc.oneof(
-  { weight: 8, arbitrary: fc.record({ kind: fc.constant('send' as const), entry: drawEntry, beside: fc.nat({ max: 3 }) }) },
+  { weight: 8, arbitrary: fc.record({ kind: fc.constant('send' as const), entry: drawEntry, companions: fc.nat({ max: 3 }) }) },
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('pause' as const), ms: fc.integer({ min: 1, max: 2_000 }) }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constantFrom('cutOrJoin' as const, 'restartEntry' as const), entry: drawEntry }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('loseLeader' as const), next: fc.nat({ max: REPLICAS - 1 }) }) },
@@ -100,7 +100,7 @@
 
   private perform(step: ModelStep): void {
     const handlers: { [Kind in ModelStep['kind']]: (item: Extract<ModelStep, { kind: Kind }>) => void } = {
-      send: ({ entry, beside: companions }) => this.send(this.entries[entry] as ModelEntry, companions),
+      send: ({ entry, companions }) => this.send(this.entries[entry] as ModelEntry, companions),
       pause: ({ ms }) => {
         this.now += ms;
       },
@@ -116,7 +116,7 @@
 
   private send(entry: ModelEntry, companions: number): void {
     if ((entry.list.find(FATAL, this.now)?.refusedMs ?? 0) > 0) return;
-    const kind = entry.isCut ? 'none' : this.readLeader().findCaution(FATAL).kind;
+    const kind = entry.isCut ? 'none' : this.readLeader().findRestriction(FATAL).kind;
     if (kind === 'refused' || kind === 'held') return;
     if (this.isLate(entry)) this.lateSends += 1;
     if (this.isReachable(entry) && this.now < this.refusedUntil) this.breaches += 1;
@@ -162,7 +162,7 @@
     this.entries.filter(({ isCut }) => !isCut).forEach((entry) => {
       if (entry.lastLeader !== this.epoch) entry.crashRecords.markUnreported();
       entry.lastLeader = this.epoch;
-      this.readLeader().take({ sightings: entry.crashRecords.takeUnreported(this.now), served: [] });
+      this.readLeader().applyReports({ sightings: entry.crashRecords.takeUnreported(this.now), served: [] });
     });
     this.now += UPDATE_DELAY_MS;
     this.readLeader().evaluate();
@@ -174,7 +174,7 @@
   }
 
   private recordRefusal(): void {
-    const { refusedMs } = this.readLeader().findCaution(FATAL);
+    const { refusedMs } = this.readLeader().findRestriction(FATAL);
     if (this.refusedUntil === 0 && refusedMs > 0) this.refusedUntil = this.now + refusedMs;
   }
 
--- a/tests/control/watch-service.spec.ts
+++ b/tests/control/watch-service.spec.ts
@@ -38,7 +38,7 @@
       watches,
       countEntries: () => ENTRIES,
     }),
-    recall: new RecoveryWindow(systemClock, false),
+    recoveryWindow: new RecoveryWindow(systemClock, false),
     watches,
     leaderWait: new LeaderWait(() => true),
     work: new WorkMeter(systemClock, logger, HEARTBEAT_MS),
@@ -46,7 +46,7 @@
     leaseMs: 2_300,
     readView: () => ({
       isLeading: true,
-      otherLeader: '',
+      otherLeaderAddress: '',
       // Read once for each reply.
       get replicaAddresses() {
         countAnswer();
