--- a/src/control/announcementService.ts
+++ b/src/control/announcementService.ts
@@ -16,7 +16,7 @@
 /** Dependencies of the announcement service. */
 export interface AnnouncementServiceParts {
   readonly validator: Pick<AnnouncementValidator, 'check'>;
-  readonly registry: Pick<WorkerRegistry, 'take'>;
+  readonly registry: Pick<WorkerRegistry, 'applyAnnouncement'>;
   readonly suspects: Pick<SuspectRegistry, 'handleAnnouncement'>;
   readonly leaderWait: Pick<LeaderWait, 'wait'>;
   readonly work: Pick<WorkMeter, 'measure'>;
@@ -49,7 +49,7 @@
     const { isLeading, otherLeaderAddress } = readView();
     if (isLeading) {
       work.measure('announce', () => {
-        registry.take(announcement);
+        registry.applyAnnouncement(announcement);
         suspects.handleAnnouncement(announcement);
       });
       return { taken: true };
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -14,8 +14,8 @@
   readonly suspects: SuspectRegistry;
   readonly recoveryWindow: RecoveryWindow;
   /** Records that this replica had cached on disk when it started. */
-  readonly remembered: readonly WorkerRecord[];
-  readonly rememberedSuspects: readonly SuspectRecord[];
+  readonly cachedWorkers: readonly WorkerRecord[];
+  readonly cachedSuspects: readonly SuspectRecord[];
 }
 
 /**
@@ -35,8 +35,8 @@
   private unreportedSuspects: readonly SuspectRecord[];
 
   constructor(private readonly parts: LeaderFollowerParts) {
-    this.unreportedWorkers = parts.remembered;
-    this.unreportedSuspects = parts.rememberedSuspects;
+    this.unreportedWorkers = parts.cachedWorkers;
+    this.unreportedSuspects = parts.cachedSuspects;
   }
 
   /** Lists the entries that accept callers, as last received from the leader. */
--- a/src/control/recordCache.ts
+++ b/src/control/recordCache.ts
@@ -21,7 +21,7 @@
  *
  * @example
  * const records = await cache.load();
- * cache.note(`${epoch}/${revision}`, clock.now(), () => listRecords());
+ * cache.saveIfChanged(`${epoch}/${revision}`, clock.now(), () => listRecords());
  */
 export class RecordCache<Item> {
   private readonly file: RecordFile;
@@ -53,7 +53,7 @@
    *
    * @param state identifies the content: epoch and revision of the table that it comes from
    */
-  note(state: string, now: number, listRecords: () => readonly Item[]): void {
+  saveIfChanged(state: string, now: number, listRecords: () => readonly Item[]): void {
     const isDue = state !== this.writtenState && now - this.writtenAt >= WRITE_MS;
     if (!isDue || this.isWriting) return;
     this.writtenState = state;
--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -262,16 +262,16 @@
   const stored = await store.load(makeEmptyLog({ voters: founders, learners: [], leaving: [] }));
   const workerCache = makeRecordCache(settings.dataFolder, 'workers.log', WorkerRecord, logger);
   const suspectCache = makeRecordCache(settings.dataFolder, 'suspects.log', SuspectRecord, logger);
-  const [remembered, rememberedSuspects] = await Promise.all([workerCache.load(), suspectCache.load()]);
+  const [cachedWorkers, cachedSuspects] = await Promise.all([workerCache.load(), suspectCache.load()]);
   const node = new RoutedNode({
     self,
     founders,
     stored,
     store,
-    remembered,
-    memo: workerCache,
-    rememberedSuspects,
-    suspectMemo: suspectCache,
+    cachedWorkers,
+    workerCache,
+    cachedSuspects,
+    suspectCache,
     readRouting: parts.readRouting,
     port: {
       sendMessage: makeStepSender(links),
--- a/src/control/routedNodeParts.ts
+++ b/src/control/routedNodeParts.ts
@@ -26,11 +26,11 @@
   readonly stored: StoredLog;
   readonly store: LogStore;
   /** Backend servers that were cached before a restart. */
-  readonly remembered: readonly WorkerRecord[];
-  readonly memo: Pick<RecordCache<WorkerRecord>, 'note'>;
+  readonly cachedWorkers: readonly WorkerRecord[];
+  readonly workerCache: Pick<RecordCache<WorkerRecord>, 'saveIfChanged'>;
   /** Suspects that were cached before a restart. */
-  readonly rememberedSuspects: readonly SuspectRecord[];
-  readonly suspectMemo: Pick<RecordCache<SuspectRecord>, 'note'>;
+  readonly cachedSuspects: readonly SuspectRecord[];
+  readonly suspectCache: Pick<RecordCache<SuspectRecord>, 'saveIfChanged'>;
   readonly readRouting: RoutingReader;
   readonly port: RoutedPort;
   readonly clock: Clock;
--- a/src/control/softState.ts
+++ b/src/control/softState.ts
@@ -9,7 +9,7 @@
 import { WorkerRegistry } from './workerRegistry';
 
 /** Dependencies of the soft state. */
-export interface SoftStateParts extends Pick<RoutedNodeParts, | 'stored' | 'remembered' | 'memo' | 'rememberedSuspects' | 'suspectMemo' | 'clock' | 'logger'> {
+export interface SoftStateParts extends Pick<RoutedNodeParts, | 'stored' | 'cachedWorkers' | 'workerCache' | 'cachedSuspects' | 'suspectCache' | 'clock' | 'logger'> {
   /** Watch requests that are held until there is an update. */
   readonly watches: HeldCalls;
   /** Counts the entries that send watch requests. */
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -24,8 +24,8 @@
 /** Dependencies of the suspect registry. */
 export interface SuspectRegistryParts {
   /** Suspects that were cached before a restart. */
-  readonly rememberedSuspects: readonly SuspectRecord[];
-  readonly suspectMemo: Pick<RecordCache<SuspectRecord>, 'note'>;
+  readonly cachedSuspects: readonly SuspectRecord[];
+  readonly suspectCache: Pick<RecordCache<SuspectRecord>, 'saveIfChanged'>;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Watch requests that are held until there is an update. */
@@ -53,7 +53,7 @@
   private lastExpiryAt = 0;
 
   constructor(private readonly parts: SuspectRegistryParts) {
-    this.restore(parts.rememberedSuspects);
+    this.restore(parts.cachedSuspects);
   }
 
   /** Version of the leader's list that this replica has. */
@@ -110,9 +110,9 @@
 
   /** Writes changed suspects to disk; writes are rate-limited. */
   save(): void {
-    const { suspectMemo, clock } = this.parts;
+    const { suspectCache, clock } = this.parts;
     if (this.table.revision === FIRST_REVISION) return;
-    suspectMemo.note(`${this.leaderList.heldVersion.suspectsEpoch}/${this.table.revision}`, clock.now(), () => this.listSuspects());
+    suspectCache.saveIfChanged(`${this.leaderList.heldVersion.suspectsEpoch}/${this.table.revision}`, clock.now(), () => this.listSuspects());
   }
 
   /** Applies the list in a watch reply of the leader on a follower. */
--- a/src/control/workerRegistry.ts
+++ b/src/control/workerRegistry.ts
@@ -15,8 +15,8 @@
 /** Dependencies of the registry. */
 export interface WorkerRegistryParts {
   /** Backend servers that were cached before a restart. */
-  readonly remembered: readonly WorkerRecord[];
-  readonly memo: Pick<RecordCache<WorkerRecord>, 'note'>;
+  readonly cachedWorkers: readonly WorkerRecord[];
+  readonly workerCache: Pick<RecordCache<WorkerRecord>, 'saveIfChanged'>;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Watch requests that are held until there is an update. */
@@ -30,17 +30,17 @@
  * and all replicas cache the table over a restart.
  *
  * @example
- * registry.take(announcement); // held watch requests are answered with the change
+ * registry.applyAnnouncement(announcement); // held watch requests are answered with the change
  */
 export class WorkerRegistry {
   table: WorkerTable = makeWorkerTable(randomUUID());
 
   constructor(private readonly parts: WorkerRegistryParts) {
-    this.addRecords(parts.remembered);
+    this.addRecords(parts.cachedWorkers);
   }
 
   /** Applies an announcement of a backend server. */
-  take(announcement: WorkerAnnouncement): void {
+  applyAnnouncement(announcement: WorkerAnnouncement): void {
     const { revision } = this.table;
     applyAnnouncement(this.table, announcement, this.parts.clock.now());
     if (this.table.revision === revision) return;
@@ -64,8 +64,8 @@
 
   /** Writes changed servers to disk; writes are rate-limited. */
   save(): void {
-    const { memo, clock } = this.parts;
-    memo.note(`${this.table.epoch}/${this.table.revision}`, clock.now(), () => listChangedWorkers(this.table, '', 0));
+    const { workerCache, clock } = this.parts;
+    workerCache.saveIfChanged(`${this.table.epoch}/${this.table.revision}`, clock.now(), () => listChangedWorkers(this.table, '', 0));
   }
 
   /** Applies the servers in a watch reply of the leader on a follower. */
--- a/tests/control/record-cache.spec.ts
+++ b/tests/control/record-cache.spec.ts
@@ -30,8 +30,8 @@
     const [cache] = await openCache<WorkerRecord>(files, WorkerRecord.fromPartial);
     let now = 0;
     const registry = new WorkerRegistry({
-      remembered: [],
-      memo: cache,
+      cachedWorkers: [],
+      workerCache: cache,
       clock: { now: () => now },
       logger: makeLogger('test', 'silent'),
       watches: new HeldCalls(),
@@ -62,10 +62,10 @@
       writes += 1;
       return [];
     };
-    cache.note('first/1', 0, listItems);
+    cache.saveIfChanged('first/1', 0, listItems);
     await pause(SETTLE_MS);
-    cache.note('first/1', LATER_MS, listItems);
-    cache.note('first/2', 1, listItems);
+    cache.saveIfChanged('first/1', LATER_MS, listItems);
+    cache.saveIfChanged('first/2', 1, listItems);
     await cache.close();
     expect(writes).toBe(1);
   });
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -199,10 +199,10 @@
     };
   }
 
-  private makeRegistry(rememberedSuspects: readonly SuspectRecord[]): SuspectRegistry {
+  private makeRegistry(cachedSuspects: readonly SuspectRecord[]): SuspectRegistry {
     return new SuspectRegistry({
-      rememberedSuspects,
-      suspectMemo: { note: () => undefined },
+      cachedSuspects,
+      suspectCache: { saveIfChanged: () => undefined },
       clock: { now: () => this.now },
       logger: makeLogger('test', 'silent'),
       watches: new HeldCalls(),
--- a/tests/control/watch-service.spec.ts
+++ b/tests/control/watch-service.spec.ts
@@ -21,8 +21,8 @@
   const logger = makeLogger('test', 'silent');
   const leaderState = new LeaderState({ clock: systemClock, leaseMs: 2_300, limitSlack: 0 });
   const registry = new WorkerRegistry({
-    remembered: [],
-    memo: { note: () => undefined },
+    cachedWorkers: [],
+    workerCache: { saveIfChanged: () => undefined },
     clock: systemClock,
     logger,
     watches,
@@ -31,8 +31,8 @@
   const service = new WatchService({
     registry,
     suspects: new SuspectRegistry({
-      rememberedSuspects: [],
-      suspectMemo: { note: () => undefined },
+      cachedSuspects: [],
+      suspectCache: { saveIfChanged: () => undefined },
       clock: systemClock,
       logger,
       watches,
--- a/tests/control/worker-updates.spec.ts
+++ b/tests/control/worker-updates.spec.ts
@@ -10,7 +10,7 @@
 const ENTRIES = 200;
 
 const announce = (registry: WorkerRegistry, position: number): void => (
-  registry.take(WorkerAnnouncement.fromPartial({
+  registry.applyAnnouncement(WorkerAnnouncement.fromPartial({
     workerId: `w${position}`, service: 'm', address: `10.0.0.${position}:80`, zone: 'a', slots: 6, state: 'ready', sequence: 1,
   })));
 
@@ -26,8 +26,8 @@
   const countAnswers = async (entries: number): Promise<number> => {
     const watches = new HeldCalls();
     const registry = new WorkerRegistry({
-      remembered: [],
-      memo: { note: () => undefined },
+      cachedWorkers: [],
+      workerCache: { saveIfChanged: () => undefined },
       clock: { now: () => performance.now() },
       logger: makeLogger('test', 'silent'),
       watches,
--- a/tests/core/worker-incarnations.spec.ts
+++ b/tests/core/worker-incarnations.spec.ts
@@ -243,7 +243,7 @@
 
   private takeIn(said: WorkerAnnouncement): void {
     const [leader, follower] = this.replicas;
-    leader.take(said);
+    leader.applyAnnouncement(said);
     follower.applyReply(WatchReply.fromPartial(leader.buildPart({ workersEpoch: '', workersRevision: 0 } as never)));
     const { born } = this.table.workers.get('w1')?.said ?? { born: 0 };
     if (this.taken.at(-1) !== born) this.taken.push(born);
@@ -251,8 +251,8 @@
 
   private makeRegistry(): WorkerRegistry {
     return new WorkerRegistry({
-      remembered: [],
-      memo: { note: () => undefined },
+      cachedWorkers: [],
+      workerCache: { saveIfChanged: () => undefined },
       clock: { now: () => this.now },
       logger: makeLogger('test', 'silent'),
       watches: new HeldCalls(),
