--- a/src/control/announcementValidator.ts
+++ b/src/control/announcementValidator.ts
@@ -40,7 +40,9 @@
     const site = readSite();
     // Servers already announce themselves before the first document, when no service is known.
     if (announcement.state === 'gone' || site.version === 0) return;
-    if (readTable().workers.get(announcement.workerId)?.said.service === announcement.service) return;
+    if (
+      readTable().workers.get(announcement.workerId)?.said.service === announcement.service
+    ) return;
     if (this.listServices(site).has(announcement.service)) return;
     throw new BeechliftError('unknownService', `document ${site.version} has no route to service "${announcement.service.slice(0, 128)}"`);
   }
--- a/src/control/controlNode.ts
+++ b/src/control/controlNode.ts
@@ -173,8 +173,8 @@
       commitIndex: state.commitIndex,
       manifestVersion: this.site.manifest?.version ?? 0,
       manifestDigest: this.site.digest,
-      members: [...this.memberTable.values()].map(({ member, manifestVersion, lastSeenAt: receivedAt }) => ({
-        member, manifestVersion, silentMs: Math.round(now - receivedAt),
+      members: [...this.memberTable.values()].map(({ member, manifestVersion, lastSeenAt }) => ({
+        member, manifestVersion, silentMs: Math.round(now - lastSeenAt),
       })),
       holders: this.holders,
       viewNumber: this.site.viewNumber,
@@ -205,8 +205,8 @@
   }
 
   private planCommand(now: number): SiteCommand | undefined {
-    const changedMembers = computeMembers(this.site.members, this.memberTable, this.leadingSince, now);
-    if (changedMembers) return { kind: 'members', members: changedMembers };
+    const members = computeMembers(this.site.members, this.memberTable, this.leadingSince, now);
+    if (members) return { kind: 'members', members };
     return planHolderChange(this.site.holders, this.runner.state, this.copiedSet);
   }
 
--- a/src/control/documentPublisher.ts
+++ b/src/control/documentPublisher.ts
@@ -34,7 +34,7 @@
 export class DocumentPublisher {
   constructor(private readonly parts: DocumentPublisherParts) {}
 
-  /** Validates and replicates a document; a version that is not newer is accepted without effect. */
+  /** Validates and replicates a document; accepts an older version without effect. */
   async publish(request: PublishRequest): Promise<PublishReply> {
     const { readRouting, logger, readVersion } = this.parts;
     const { routing, faults } = readRouting(request.document);
--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -69,7 +69,7 @@
     this.loads.set(entryId, request.loads);
   }
 
-  /** Lists the entries that accept callers, with a revision that increases when the list changes. */
+  /** Lists the entries that accept callers; the revision increases when the list changes. */
   listActive(now: number): { readonly records: readonly EntryRecord[]; readonly revision: number } {
     this.expire(now);
     if (this.isListStale) this.buildList();
--- a/src/control/leaderState.ts
+++ b/src/control/leaderState.ts
@@ -69,7 +69,8 @@
     this.placementService = new PlacementService({
       clock: parts.clock,
       mechanisms: parts.mechanisms,
-      findRestriction: (fingerprint) => parts.suspects?.findRestriction(fingerprint) ?? NO_RESTRICTION,
+      findRestriction: (fingerprint) => (
+        parts.suspects?.findRestriction(fingerprint) ?? NO_RESTRICTION),
       handleUnplaced: ({ account, cost }) => this.ledger.refund(account, cost),
     });
   }
@@ -105,7 +106,10 @@
    *
    * @param epoch identifies the tables of this leader
    */
-  buildEntryListPart({ entriesEpoch, entriesRevision }: EntryListVersion, epoch: string): EntryListPart {
+  buildEntryListPart(
+    { entriesEpoch, entriesRevision }: EntryListVersion,
+    epoch: string,
+  ): EntryListPart {
     const now = this.parts.clock.now();
     const isOwn = entriesEpoch === epoch;
     const isSettling = now - this.startedAt < SETTLE_MS;
@@ -145,7 +149,10 @@
       stream.entryId = message.entryId;
       this.placementService.releaseUnheld(message.entryId, message.held);
     }
-    this.placementService.requestSlots(message.requests.filter((request) => this.charge(request, stream)), stream);
+    this.placementService.requestSlots(
+      message.requests.filter((request) => this.charge(request, stream)),
+      stream,
+    );
   }
 
   /** Ends the placement stream of an entry. */
--- a/src/control/loadSums.ts
+++ b/src/control/loadSums.ts
@@ -47,7 +47,9 @@
 
   /** Sums the loads of all entries but one. */
   sum(exceptId: string): WorkerLoad[] {
-    const own = new Map((this.reportedLoads.get(exceptId) ?? NO_LOADS).map((load) => [load.workerId, load]));
+    const own = new Map(
+      (this.reportedLoads.get(exceptId) ?? NO_LOADS).map((load) => [load.workerId, load]),
+    );
     return [...this.sums].map(([workerId, sum]) => {
       const load = own.get(workerId);
       const slowness = sum.slowness - (load?.slowness ?? 0);
--- a/src/control/logRunner.ts
+++ b/src/control/logRunner.ts
@@ -32,7 +32,7 @@
 
 type EffectHandler = (effect: LogEffect) => void;
 
-type ImmediateEffectKind = Exclude<LogEffect['kind'], 'persist' | 'persistSnapshot'>;
+type HandledKind = Exclude<LogEffect['kind'], 'persist' | 'persistSnapshot'>;
 
 /** Poll interval in milliseconds; acknowledgements of a round arrive within a few milliseconds. */
 const CONFIRM_POLL_MS = 2;
@@ -193,11 +193,11 @@
   }
 
   private runEffect(effect: LogEffect): void {
-    const handler = this.effectHandlers[effect.kind as ImmediateEffectKind] as EffectHandler | undefined;
+    const handler = this.effectHandlers[effect.kind as HandledKind] as EffectHandler | undefined;
     handler?.(effect);
   }
 
-  private readonly effectHandlers: { [Kind in ImmediateEffectKind]: (effect: EffectOf<Kind>) => void } = {
+  private readonly effectHandlers: { [Kind in HandledKind]: (effect: EffectOf<Kind>) => void } = {
     send: ({ message }) => this.listener.sendMessage(message),
     apply: ({ entry }) => this.apply(entry),
     restore: ({ snapshot }) => {
--- a/src/control/placementService.ts
+++ b/src/control/placementService.ts
@@ -2,7 +2,8 @@
   PlacedReport, PlaceReply, PlaceRequest, WorkerLoad, WorkerRecord,
 } from '../protocol/generated/beechlift';
 import {
-  requestSlots, removeWaiting, expirePlaced, retainPlaced, makePlacementTables, applyPlacementUpdate, placeWaiting,
+  requestSlots, removeWaiting, expirePlaced, retainPlaced, makePlacementTables,
+  applyPlacementUpdate, placeWaiting,
 } from '../core/routing/placement';
 import type { RestrictionFinder } from '../core/quarantine/placementRestriction';
 import type { PlacementDecision, PlacementUpdate } from '../core/routing/placement';
@@ -102,7 +103,9 @@
   requestSlots(requests: readonly PlaceRequest[], stream: PlacementStream): void {
     const now = this.parts.clock.now();
     requests.forEach((request) => this.pending.set(request.placeId, { stream, request }));
-    this.deliver(requestSlots(this.tables, requests.map((request) => toSlotRequest(request, now)), now));
+    this.deliver(
+      requestSlots(this.tables, requests.map((request) => toSlotRequest(request, now)), now),
+    );
   }
 
   /** Applies reports on placed requests, and grants the slots that become free. */
@@ -136,7 +139,8 @@
     const now = this.parts.clock.now();
     expirePlaced(this.tables, isConnected, now);
     this.deliver(placeWaiting(this.tables, now));
-    new Set([...this.pending.values()].map(({ stream }) => stream)).forEach((stream) => stream.keepAlive());
+    new Set([...this.pending.values()].map(({ stream }) => stream))
+      .forEach((stream) => stream.keepAlive());
   }
 
   /** Closes a stream: frees the slots whose grants were not sent, and drops waiting requests. */
--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -130,7 +130,9 @@
   self: Replica,
   logger: Logger,
 ) => ({
-  watch: handleUnary<WatchRequest, WatchReply>((request) => requireNode(nodeReference).watch(request)),
+  watch: handleUnary<WatchRequest, WatchReply>(
+    (request) => requireNode(nodeReference).watch(request),
+  ),
   keepWatch: handleStream<WatchRequest, WatchReply>((stream) => {
     // Looked up when the stream opens: an error here ends the stream, not the process.
     const node = requireNode(nodeReference);
@@ -262,7 +264,9 @@
   const stored = await store.load(makeEmptyLog({ voters: founders, learners: [], leaving: [] }));
   const workerCache = makeRecordCache(settings.dataFolder, 'workers.log', WorkerRecord, logger);
   const suspectCache = makeRecordCache(settings.dataFolder, 'suspects.log', SuspectRecord, logger);
-  const [cachedWorkers, cachedSuspects] = await Promise.all([workerCache.load(), suspectCache.load()]);
+  const [cachedWorkers, cachedSuspects] = await Promise.all(
+    [workerCache.load(), suspectCache.load()],
+  );
   const node = new RoutedNode({
     self,
     founders,
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -96,7 +96,9 @@
       work: this.work,
       readView: () => this.readView(),
     };
-    this.announcementService = new AnnouncementService({ ...serviceParts, validator: this.announcementValidator });
+    this.announcementService = new AnnouncementService({
+      ...serviceParts, validator: this.announcementValidator,
+    });
     this.watchService = new WatchService({ ...serviceParts, address: parts.self.address });
     this.directory = new ReplicaDirectory(parts.founders);
     this.suspensionEpoch = parts.suspension.readEpoch();
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -2,7 +2,8 @@
   PlaceNews, SuspectRecord, WatchReply, WatchRequest, WorkerAnnouncement,
 } from '../protocol/generated/beechlift';
 import {
-  computeRemainingRefusalMs, findStage, FIRST_REVISION, hasUnsettledCrash, makeCrashTable, formatIncarnation, recordCrash,
+  computeRemainingRefusalMs, findStage, FIRST_REVISION, hasUnsettledCrash, makeCrashTable,
+  formatIncarnation, recordCrash,
   recordServed, computeSuspectWeight,
 } from '../core/quarantine/crashTable';
 import type { StageChange, SuspectStage } from '../core/quarantine/crashTable';
@@ -68,14 +69,21 @@
       const { fingerprint, ageMs } = sighting;
       recordCrash(this.table, fingerprint, formatIncarnation(sighting), now - ageMs, now);
     });
-    this.announceChanges(served.flatMap((fingerprint) => recordServed(this.table, fingerprint, now)));
+    this.announceChanges(
+      served.flatMap((fingerprint) => recordServed(this.table, fingerprint, now)),
+    );
   }
 
   /** Records an announcement of a server: it shows that the server did not crash. */
   handleAnnouncement(announcement: WorkerAnnouncement): void {
     if (announcement.state === 'gone') return;
     const now = this.parts.clock.now();
-    this.announceChanges(recordAnnouncement(this.table, formatIncarnation(announcement), announcement.sequence, now));
+    this.announceChanges(recordAnnouncement(
+      this.table,
+      formatIncarnation(announcement),
+      announcement.sequence,
+      now,
+    ));
   }
 
   /** Evaluates the crash reports, and removes old suspects. */
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -101,7 +101,9 @@
   private async awaitLeader(request: WatchRequest): Promise<WatchReply> {
     const { readView, leaderWait } = this.parts;
     await leaderWait.wait(Math.min(MAX_HOLD_MS, request.holdMs));
-    return readView().isLeading ? this.watch({ ...request, holdMs: 0 }) : this.buildNotLeadingReply();
+    return readView().isLeading
+      ? this.watch({ ...request, holdMs: 0 })
+      : this.buildNotLeadingReply();
   }
 
   private hasUpdates(request: WatchRequest): boolean {
--- a/tests/control/acknowledged-model.spec.ts
+++ b/tests/control/acknowledged-model.spec.ts
@@ -55,8 +55,8 @@
 });
 
 describe('what was acknowledged', () => {
-  // A change was acknowledged, the disks that held it were lost while other machines lost power, and
-  // the site came back without the change or not at all.
+  // A change was acknowledged, the disks that held it were lost while other machines lost power,
+  // and the site came back without the change or not at all.
   it('should outlive the loss of as many disks as are to be borne, and of power at all others', async () => {
     let acknowledged = 0;
     const runs = await runSearchAsync(fc.asyncProperty(
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -188,7 +188,8 @@
   }
 
   private findLeader(): ReplicaProcess | undefined {
-    return this.machines.map(({ replica }) => replica).find((replica) => replica?.runner.holdsLease);
+    return this.machines.map(({ replica }) => replica)
+      .find((replica) => replica?.runner.holdsLease);
   }
 
   /** Formats the view of each machine; lost identities are marked. */
--- a/tests/control/document-packer.spec.ts
+++ b/tests/control/document-packer.spec.ts
@@ -29,8 +29,8 @@
 describe('the document on its way to entries', () => {
   /*
    * After a change that added 1,740 routes, entries answered 404 to these for seconds. The document
-   * was sent as text, with 340 bytes per route, and took half a second on an entry's link. The entry
-   * abandoned its watch request after half a second and requested the whole document again.
+   * was sent as text, with 340 bytes per route, and took half a second on the link of an entry. The
+   * entry abandoned its watch request after half a second and requested the whole document again.
    */
   it('should take a tenth of a second of a slow link with 1,800 routes', () => {
     const document = makeDocument(1_800);
--- a/tests/control/modelMachine.ts
+++ b/tests/control/modelMachine.ts
@@ -114,7 +114,12 @@
     this.replica = this.makeProcess(self, start, store, stored);
   }
 
-  private makeProcess(self: Replica, start: number, store: LogStore, stored: StoredLog): ReplicaProcess {
+  private makeProcess(
+    self: Replica,
+    start: number,
+    store: LogStore,
+    stored: StoredLog,
+  ): ReplicaProcess {
     const {
       clock, voterCount, send, recordFailure,
     } = this.site;
--- a/tests/control/suspectModel.ts
+++ b/tests/control/suspectModel.ts
@@ -162,7 +162,9 @@
     this.entries.filter(({ isCut }) => !isCut).forEach((entry) => {
       if (entry.lastLeader !== this.epoch) entry.crashRecords.markUnreported();
       entry.lastLeader = this.epoch;
-      this.readLeader().applyReports({ sightings: entry.crashRecords.takeUnreported(this.now), served: [] });
+      this.readLeader().applyReports({
+        sightings: entry.crashRecords.takeUnreported(this.now), served: [],
+      });
     });
     this.now += UPDATE_DELAY_MS;
     this.readLeader().evaluate();
--- a/tests/control/watch-service.spec.ts
+++ b/tests/control/watch-service.spec.ts
@@ -62,8 +62,8 @@
 describe('the desk where entries ask the leader', () => {
   /*
    * Four changes were accepted within half a second. After each, the leader answered two hundred
-   * entries in one turn of its event loop and sent no heartbeat meanwhile. Two leaders were replaced
-   * within a second, and callers got no engine.
+   * entries in one turn of its event loop and sent no heartbeat meanwhile. Two leaders were
+   * replaced within a second, and callers got no engine.
    */
   it('should let the heartbeats of the leader go between its answers to many entries', async () => {
     const watches = new HeldCalls();
