--- a/src/control/leaderState.ts
+++ b/src/control/leaderState.ts
@@ -69,8 +69,8 @@
     this.placementService = new PlacementService({
       clock: parts.clock,
       mechanisms: parts.mechanisms,
-      findRestriction: (fingerprint) => (
-        parts.suspects?.findRestriction(fingerprint) ?? NO_RESTRICTION),
+      findRestriction: (fingerprint) => parts.suspects?.findRestriction(fingerprint)
+        ?? NO_RESTRICTION,
       handleUnplaced: ({ account, cost }) => this.ledger.refund(account, cost),
     });
   }
--- a/src/control/replicaDirectory.ts
+++ b/src/control/replicaDirectory.ts
@@ -1,13 +1,13 @@
 import type { Replica } from '../protocol/generated/beechlift';
 import type { ReplicaSet } from '../core/log/logTypes';
 
-/** Bounds the number of replicas that are kept from searching the site. */
+/** Bounds the number of replicas that are kept from searching for the site. */
 const MAX_DISCOVERED = 32;
 
 /**
  * Addresses of replicas. The log of a joining replica names no other replica yet, but the replica
  * must answer the leader that sends it the log. So it also uses the replicas that it found while
- * searching the site.
+ * searching for the site.
  *
  * @example
  * directory.find('c1', state.replicas)?.address;
@@ -17,7 +17,7 @@
 
   constructor(private readonly founders: readonly Replica[]) {}
 
-  /** Records a replica that answered while this one searched the site. */
+  /** Records a replica that answered while this one searched for the site. */
   addDiscovered(replica: Replica): void {
     // One replica per address: an earlier identity at the address lost its disk.
     this.discovered.forEach(({ address }, id) => {
--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -37,7 +37,7 @@
 /** How long the leader holds a watch request of a follower, in milliseconds. */
 const FOLLOW_HOLD_MS = 250;
 const FOLLOW_TIMEOUT_MS = 700;
-/** Interval at which a replica without a leader searches the site, in milliseconds. */
+/** Interval at which a replica without a leader searches for the site, in milliseconds. */
 const DISCOVERY_INTERVAL_MS = 400;
 
 /** Settings of a routed control process. */
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -30,7 +30,7 @@
 
 /** Interval at which the log checks its timers, in milliseconds. */
 export const TICK_MS = 25;
-/** Time without contact to a leader after which a replica searches the site, in milliseconds. */
+/** Time without contact to a leader after which a replica searches for the site, in ms. */
 const LOST_CONTACT_MS = 1_000;
 
 /**
@@ -254,12 +254,12 @@
     return this.announcementService.announce(announcement, isForwarded);
   }
 
-  /** Records a replica that answered while this one searched the site. */
+  /** Records a replica that answered while this one searched for the site. */
   addDiscovered(replica: Replica): void {
     this.directory.addDiscovered(replica);
   }
 
-  /** Answers another replica that searches the site. */
+  /** Answers another replica that searches for the site. */
   meet({ from }: MeetRequest): MeetReply {
     if (from && this.runner.state.role === 'leader') this.replicaSetManager.recordJoinRequest(from);
     return {
@@ -322,7 +322,7 @@
     if (epoch === this.suspensionEpoch) return;
     this.suspensionEpoch = epoch;
     this.runner.handle({ kind: 'suspended' });
-    this.parts.logger.warn('clocks diverged: the process was suspended, leases must be renewed');
+    this.parts.logger.warn('clocks diverged, possibly after a suspension: leases are renewed before use');
   }
 
   private findAddress(id: string): string {
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -3,8 +3,7 @@
 } from '../protocol/generated/beechlift';
 import {
   computeRemainingRefusalMs, findStage, FIRST_REVISION, hasUnsettledCrash, makeCrashTable,
-  formatIncarnation, recordCrash,
-  recordServed, computeSuspectWeight,
+  formatIncarnation, recordCrash, recordServed, computeSuspectWeight,
 } from '../core/quarantine/crashTable';
 import type { StageChange, SuspectStage } from '../core/quarantine/crashTable';
 import { expireSuspects, evaluateCrashes, recordAnnouncement } from '../core/quarantine/crashEvaluation';
@@ -69,7 +68,7 @@
       const { fingerprint, ageMs } = sighting;
       recordCrash(this.table, fingerprint, formatIncarnation(sighting), now - ageMs, now);
     });
-    this.announceChanges(
+    this.reportChanges(
       served.flatMap((fingerprint) => recordServed(this.table, fingerprint, now)),
     );
   }
@@ -78,7 +77,7 @@
   handleAnnouncement(announcement: WorkerAnnouncement): void {
     if (announcement.state === 'gone') return;
     const now = this.parts.clock.now();
-    this.announceChanges(recordAnnouncement(
+    this.reportChanges(recordAnnouncement(
       this.table,
       formatIncarnation(announcement),
       announcement.sequence,
@@ -89,10 +88,10 @@
   /** Evaluates the crash reports, and removes old suspects. */
   evaluate(): void {
     const now = this.parts.clock.now();
-    this.announceChanges(evaluateCrashes(this.table, now));
+    this.reportChanges(evaluateCrashes(this.table, now));
     if (now - this.lastExpiryAt < EXPIRE_MS) return;
     this.lastExpiryAt = now;
-    this.announceChanges(expireSuspects(this.table, now));
+    this.reportChanges(expireSuspects(this.table, now));
   }
 
   /** Finds the restriction that applies to a slot request. */
@@ -158,7 +157,7 @@
     return { suspectsRevision: revision, suspects: isSame ? [] : [...this.listSuspects()] };
   }
 
-  private announceChanges(changes: readonly StageChange[]): void {
+  private reportChanges(changes: readonly StageChange[]): void {
     const { clock, logger, watches } = this.parts;
     const now = clock.now();
     changes.forEach(({ kind, suspect }) => logger.info(`suspect ${kind}`, {
--- a/tests/control/acknowledged-model.spec.ts
+++ b/tests/control/acknowledged-model.spec.ts
@@ -54,10 +54,10 @@
   vi.restoreAllMocks();
 });
 
-describe('what was acknowledged', () => {
+describe('acknowledged changes', () => {
   // A change was acknowledged, the disks that held it were lost while other machines lost power,
   // and the site came back without the change or not at all.
-  it('should outlive the loss of as many disks as are to be borne, and of power at all others', async () => {
+  it('should survive the tolerated number of lost disks and a power loss of all other machines', async () => {
     let acknowledged = 0;
     const runs = await runSearchAsync(fc.asyncProperty(
       fc.constantFrom({ machines: 5, losses: 1 }, { machines: 6, losses: 2 }),
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -107,7 +107,7 @@
   async foundSite(): Promise<void> {
     const seeds = this.machines.slice(0, SEEDS);
     const records = await Promise.all(this.machines.map((machine) => machine.prepareDisk()));
-    const founders = seeds.map(({ address, replicaId: birth }) => ({ id: birth, address, zone: '' }));
+    const founders = seeds.map(({ address, replicaId }) => ({ id: replicaId, address, zone: '' }));
     await Promise.all(records.map((record, position) => (
       record.saveFounders(position < seeds.length ? founders : []))));
     this.machines.forEach((machine) => {
@@ -157,7 +157,7 @@
     this.isOver = true;
     const remaining = this.size.losses - this.listUnrepaired().size;
     const order = this.machines
-      .filter(({ replicaId: birth }) => this.listVoters().has(birth))
+      .filter(({ replicaId }) => this.listVoters().has(replicaId))
       .map((machine) => ({
         machine,
         rank: (targetsNewest && machine.holds(this.acknowledged) ? 0 : 1) + this.drawRandom(),
@@ -227,15 +227,15 @@
     if (state && isReplicaSetCommitted(state)) {
       const { voters, learners } = state.replicas;
       const ids = new Set([...voters, ...learners].map(({ id }) => id));
-      this.unrepairedLosses.forEach((address, birth) => {
-        if (!ids.has(birth)) this.unrepairedLosses.delete(birth);
+      this.unrepairedLosses.forEach((address, replicaId) => {
+        if (!ids.has(replicaId)) this.unrepairedLosses.delete(replicaId);
       });
     }
     return new Set(this.unrepairedLosses.values());
   }
 
   private findAddress(id: string): string {
-    const machine = this.machines.find(({ replicaId: birth }) => birth === id);
+    const machine = this.machines.find(({ replicaId }) => replicaId === id);
     return machine?.address ?? this.lostIdentities.get(id) ?? id;
   }
 
--- a/tests/control/announcement-validator.spec.ts
+++ b/tests/control/announcement-validator.spec.ts
@@ -32,7 +32,7 @@
    * server. The working one counted as gone, as another server claimed its address, and got no
    * requests.
    */
-  it('should be refused for a service that no route knows, and leave its address alone', () => {
+  it('should be refused for a service without a route, and not claim the address of a server', () => {
     const { validator, table } = makeValidator(site);
     applyAnnouncement(table, makeAnnouncement('good', routed), 0);
     expect(() => validator.check(makeAnnouncement('forged', 'elsewhere'))).toThrow(expect.objectContaining({ code: 'unknownService' }));
@@ -42,7 +42,7 @@
   });
 
   // After a document removes a service, its servers must still be able to announce their departure.
-  it('should be taken from a server that is known with its service, and before any document', () => {
+  it('should be accepted from a server registered for the service, and before the first document', () => {
     const { validator, table } = makeValidator(site);
     applyAnnouncement(table, makeAnnouncement('good', 'dropped'), 0);
     expect(() => validator.check(makeAnnouncement('good', 'dropped'))).not.toThrow();
--- a/tests/control/document-packer.spec.ts
+++ b/tests/control/document-packer.spec.ts
@@ -26,13 +26,13 @@
   leaseMs: 2_000,
 });
 
-describe('the document on its way to entries', () => {
+describe('the packed document', () => {
   /*
    * After a change that added 1,740 routes, entries answered 404 to these for seconds. The document
    * was sent as text, with 340 bytes per route, and took half a second on the link of an entry. The
    * entry abandoned its watch request after half a second and requested the whole document again.
    */
-  it('should take a tenth of a second of a slow link with 1,800 routes', () => {
+  it('should take a tenth of a second on a slow link with 1,800 routes', () => {
     const document = makeDocument(1_800);
     expect(document.length).toBeGreaterThan(4 * MAX_BYTES);
     const reply = build(new DocumentPacker(), document);
@@ -45,19 +45,19 @@
    * The log resent 470 KB to each of four replicas every 75 ms until they acknowledged it; the
    * leader missed its heartbeats over that, and so did the next one.
    */
-  it('should stand in the log in a fifth of its length, and be read as it was sent', () => {
+  it('should use a fifth of its length in the log, and be decoded unchanged', () => {
     const document = makeDocument(1_449);
     const command = encodeCommand({ version: 7, document });
     expect(command.length).toBeLessThan(document.length / 5);
     expect(decodeCommand(command)).toEqual({ version: 7, document });
   });
 
-  it('should be read from logs that were written before it was packed', () => {
+  it('should be read from logs that hold it unpacked', () => {
     const command = { version: 3, document: makeDocument(300) };
     expect(decodeCommand(JSON.stringify(command))).toEqual(command);
   });
 
-  it('should be packed once for all entries, and anew when it changes', () => {
+  it('should be packed once for all entries, and again when it changes', () => {
     const packer = new DocumentPacker();
     const document = makeDocument(200);
     const { packedDocument } = build(packer, document);
@@ -65,12 +65,12 @@
     expect(readDocument(build(packer, makeDocument(300)))).toBe(makeDocument(300));
   });
 
-  it('should go as it is where it is small', () => {
+  it('should be sent unpacked if it is small', () => {
     const reply = build(new DocumentPacker(), makeDocument(3));
     expect([reply.document, reply.packedDocument.length]).toEqual([makeDocument(3), 0]);
   });
 
-  it('should not be taken, and renew no lease, where it cannot be unpacked', () => {
+  it('should be ignored, and renew no lease, if it cannot be unpacked', () => {
     const clock = { now: () => 0 };
     const site = new RelaySite({
       entryId: 'e1',
--- a/tests/control/entry-list.spec.ts
+++ b/tests/control/entry-list.spec.ts
@@ -17,7 +17,7 @@
 });
 
 describe('the list of entries', () => {
-  it('should change its revision only when an entry comes, leaves or falls silent', () => {
+  it('should change its revision only when an entry joins, leaves or times out', () => {
     const table = new EntryTable(LEASE_MS);
     recordEntry(table, 'e1', 'active', 0);
     recordEntry(table, 'e2', 'active', 0);
@@ -30,7 +30,7 @@
     expect(table.listActive(2_000)).toEqual({ revision: revision + 2, records: [] });
   });
 
-  it('should be kept when a reply leaves it out, and taken anew from another leader', () => {
+  it('should be kept when a reply omits it, and replaced by the list of another leader', () => {
     const list = new EntryList();
     list.apply({ workersEpoch: 'x', entriesRevision: 7, entries: [makeRecord('e1')] });
     list.apply({ workersEpoch: 'x', entriesRevision: 7, entries: [] });
@@ -44,7 +44,7 @@
    * An entry that had left was listed again: the reply to a held watch request arrived after the
    * reply that removed the entry.
    */
-  it('should not go back when a reply was overtaken', () => {
+  it('should not be reverted by a late reply', () => {
     const list = new EntryList();
     list.apply({ workersEpoch: 'x', entriesRevision: 8, entries: [makeRecord('e2')] });
     list.apply({ workersEpoch: 'x', entriesRevision: 7, entries: [makeRecord('e1'), makeRecord('e2')] });
@@ -55,7 +55,7 @@
    * After a change of leaders all callers were sent to one entry, which refused most of them: the
    * new leader had received a request from this entry only, and published a list of one.
    */
-  it('should be kept while a new leader has not heard from all entries', () => {
+  it('should be kept until all entries have contacted a new leader', () => {
     let now = 1_000;
     const clock = { now: () => now };
     const leaderState = new LeaderState({ clock, leaseMs: LEASE_MS, limitSlack: 0 });
@@ -75,7 +75,7 @@
     expect(list.records.map(({ id }) => id)).toEqual(['e1']);
   });
 
-  it('should name the caller\'s own availability zone when it has several entries', () => {
+  it('should list only the availability zone of the caller if it has several entries', () => {
     const records = [makeRecord('e1'), makeRecord('e2'), makeRecord('e3', 'b')];
     expect(selectEntries(records, 'a', 64)).toEqual(['e1:1', 'e2:1']);
     expect(selectEntries(records, 'b', 64)).toHaveLength(3);
--- a/tests/control/held-calls.spec.ts
+++ b/tests/control/held-calls.spec.ts
@@ -16,7 +16,7 @@
    * A hundred servers start within a second, and each of eighty entries got a reply for each of
    * them: 8,000 replies in a second in which a leader also has to be elected.
    */
-  it('should be let go once for all news of a time', async () => {
+  it('should be released once for all updates within the delay', async () => {
     const held = new HeldCalls();
     let ended = 0;
     const hold = (): Promise<void> => held.hold(1_000).then(() => {
@@ -33,7 +33,7 @@
     expect(ended).toBeLessThanOrEqual(10);
   });
 
-  it('should be let go at once by news that do not wait', async () => {
+  it('should be released at once by an immediate update', async () => {
     const held = new HeldCalls();
     const call = held.hold(1_000);
     held.releaseWithin(50);
--- a/tests/control/hostile-entries.spec.ts
+++ b/tests/control/hostile-entries.spec.ts
@@ -35,7 +35,7 @@
 );
 const service = fc.constantFrom('rooms', 'rooms', 'rooms', 'other');
 const count = fc.constantFrom(0, 1, 3, 7, 500, 1e9, Number.MAX_SAFE_INTEGER, -1, -1e9);
-/** Only floating-point fields can encode all of these; elsewhere the message cannot be encoded. */
+/** Only floating-point fields can carry all of these; in other fields the message is rejected. */
 const quantity = fc.constantFrom(0, 1, 12.5, -3, 1e300, Infinity, -Infinity, NaN);
 const list = fc.array(text, { maxLength: 4 });
 
@@ -109,7 +109,7 @@
   uncaught.push(error);
 };
 
-describe('control between entries and servers that say anything', () => {
+describe('control with arbitrary messages of entries and servers', () => {
   let former: NodeJS.UncaughtExceptionListener[] = [];
   let site: ControlSite | undefined;
   let link: RpcLink<SiteClient> | undefined;
@@ -131,7 +131,7 @@
   });
 
   // An uncaught error ended the leader, and all entries had to choose servers themselves.
-  it('should go on, and accept the next document', async () => {
+  it('should keep running and accept the next document', async () => {
     const started = await ControlSite.open(3);
     site = started;
     await Promise.all([0, 1, 2].map((position) => started.start(position, true)));
--- a/tests/control/join-requests.spec.ts
+++ b/tests/control/join-requests.spec.ts
@@ -3,10 +3,10 @@
 
 const makeReplica = (id: string, address: string) => ({ id, address, zone: 'a' });
 
-describe('replicas that ask to take part', () => {
+describe('join requests of replicas', () => {
   // A machine lost its disk twice within two seconds. The join request of the second identity then
   // seemed to replace the third one, which counted as lost until that request expired.
-  it('should forget a birth once another one asks at its address', () => {
+  it('should drop the request of an identity once another one asks at its address', () => {
     const joinRequests = new JoinRequests();
     joinRequests.record(makeReplica('c2', 'c'), 0);
     joinRequests.record(makeReplica('d2', 'd'), 100);
--- a/tests/control/leader-state.spec.ts
+++ b/tests/control/leader-state.spec.ts
@@ -49,12 +49,12 @@
   })),
 });
 
-describe('the book of a leader', () => {
+describe('the state of a leader', () => {
   /*
    * The connection of an entry that loses power is not closed. Its requests kept waiting, and free
    * slots were granted to callers that were gone.
    */
-  it('should end the line of an entry that has gone, and forget what waits there', () => {
+  it('should close the stream of an entry that timed out, and drop its waiting requests', () => {
     const rig = new LeaderRig();
     rig.recordEntry('e1');
     rig.leaderState.handleMessage(rig.openStream(), buildMessage('e1', ['a', 'b']), rig.workers);
@@ -65,7 +65,7 @@
     expect(rig.leaderState.countRequests()).toEqual({ waiting: 0, placed: 0 });
   });
 
-  it('should keep the line of an entry that asks, and of one that sends news', () => {
+  it('should keep the stream of an entry that sends watch requests or placement messages', () => {
     const rig = new LeaderRig();
     const stream = rig.openStream();
     rig.recordEntry('e1');
--- a/tests/control/leader-wait.spec.ts
+++ b/tests/control/leader-wait.spec.ts
@@ -17,7 +17,7 @@
    * checked for it every 10 ms, and these 20,000 checks per second saturated the replicas that had
    * to elect the next leader.
    */
-  it('should look for a leader once for all who wait', async () => {
+  it('should check for a leader once for all waiting calls', async () => {
     let checks = 0;
     let isLeaderKnown = false;
     const wait = new LeaderWait(() => {
@@ -41,14 +41,14 @@
     expect(ended).toBe(200);
   });
 
-  it('should end after its time where no leader is found', async () => {
+  it('should end after its time limit if no leader is found', async () => {
     const wait = new LeaderWait(() => false);
     const waiting = wait.wait(300);
     await vi.advanceTimersByTimeAsync(300);
     await expect(waiting).resolves.toBeUndefined();
   });
 
-  it('should not wait where a leader is known, and end when the replica stops', async () => {
+  it('should not wait if a leader is known, and end when the replica stops', async () => {
     await expect(new LeaderWait(() => true).wait(1_000)).resolves.toBeUndefined();
     const wait = new LeaderWait(() => false);
     const waiting = wait.wait(1_000);
--- a/tests/control/load-sums.spec.ts
+++ b/tests/control/load-sums.spec.ts
@@ -37,7 +37,7 @@
 };
 
 describe('the loads of all entries', () => {
-  it('should be what adding all reports up anew gives', () => {
+  it('should equal the sum over all reports', () => {
     fc.assert(fc.property(drawSteps, (steps) => {
       const sums = new LoadSums();
       const reported = new Map<string, readonly WorkerLoad[]>();
@@ -62,7 +62,7 @@
     }));
   });
 
-  it('should hold nothing of entries that have gone', () => {
+  it('should not include entries that were removed', () => {
     const sums = new LoadSums();
     sums.set('e1', [WorkerLoad.fromPartial({ workerId: 'w1', inFlight: 1 })]);
     sums.remove('e1');
--- a/tests/control/log-runner.spec.ts
+++ b/tests/control/log-runner.spec.ts
@@ -36,10 +36,10 @@
 const propose = (runner: LogRunner<true>, command: string): Promise<true | undefined> => (
   runner.propose(command, new Operation({ timeoutMs: 10_000 })));
 
-describe('driving the log', () => {
+describe('the log runner', () => {
   // A change that was acknowledged was lost after all processes were killed: the log was compacted
   // up to the change before the change was applied, so neither the snapshot nor the entries had it.
-  it('should hold every acknowledged command in the snapshot or behind it', async () => {
+  it('should keep every acknowledged command in the snapshot or in later entries', async () => {
     const files = new MemoryFileSystem();
     const { runner, lead } = await startReplica(files);
     await lead();
@@ -57,7 +57,7 @@
 
   // A replica with a slow disk returned an old document: it counted a change as applied that still
   // waited for a sync.
-  it('should count a command as applied only when it is', async () => {
+  it('should count a command as applied only after it was applied', async () => {
     const files = new MemoryFileSystem();
     const { runner, lead, readApplied } = await startReplica(files);
     await lead();
@@ -78,7 +78,7 @@
 
   // A change got no reply while one of three replicas was down: the leader rewrote its log, which
   // included the change, but did not count its own copy as synced.
-  it('should count a command as synced that a rewrite of the log put on disk', async () => {
+  it('should count a command as synced after a rewrite of the log wrote it to disk', async () => {
     const files = new MemoryFileSystem();
     const { runner, lead, readApplied } = await startReplica(files);
     await lead();
--- a/tests/control/placement-service.spec.ts
+++ b/tests/control/placement-service.spec.ts
@@ -50,8 +50,8 @@
   placeId, phase, paceMs: 0, firstEventMs: 0, outputMs: 0,
 });
 
-describe('the desk that places requests', () => {
-  it('should tell what is decided in one turn of the loop in one message', async () => {
+describe('the placement service', () => {
+  it('should send all decisions of one turn of the event loop in one message', async () => {
     const rig = new PlacementRig(4);
     rig.service.requestSlots(['a', 'b', 'c'].map((id) => makeRequest(id)), rig.stream);
     rig.stream.acknowledge(7, true);
@@ -65,7 +65,7 @@
    * Each message of an entry was answered, though four of five only report the progress of running
    * requests. A leader of 79 entries sent a thousand empty messages per second.
    */
-  it('should answer at once only what asks for something', async () => {
+  it('should acknowledge at once only messages that request slots', async () => {
     const rig = new PlacementRig(4);
     rig.stream.acknowledge(1, false);
     rig.stream.acknowledge(2, false);
@@ -76,7 +76,7 @@
     expect(rig.messages.map(({ acknowledged }) => acknowledged)).toEqual([3]);
   });
 
-  it('should grant what waits when a slot becomes free, without being asked again', async () => {
+  it('should grant a free slot to a waiting request without another message of the entry', async () => {
     const rig = new PlacementRig(1);
     rig.service.requestSlots([makeRequest('a'), makeRequest('b')], rig.stream);
     rig.service.applyReports([report('a', 'ended')]);
@@ -88,7 +88,7 @@
    * The process of an entry is killed while requests wait and a grant is not sent yet. The slot
    * stayed in use, and later slots were granted to the missing entry.
    */
-  it('should give back what an entry never heard of when its stream ends', async () => {
+  it('should free slots whose grants were not sent when a stream ends', async () => {
     const rig = new PlacementRig(1);
     rig.service.requestSlots([makeRequest('a'), makeRequest('b')], rig.stream);
     rig.service.closeStream(rig.stream);
@@ -100,7 +100,7 @@
    * A connection stops working while a grant is in transit. The entry chooses a server itself and
    * opens a new stream. The slot of the lost grant stayed in use until the deadline.
    */
-  it('should free what an entry does not hold when it comes back over a new stream', async () => {
+  it('should free slots that an entry does not hold when it opens a new stream', async () => {
     const rig = new PlacementRig(4);
     rig.service.requestSlots(['a', 'b'].map((id) => makeRequest(id)), rig.stream);
     rig.service.requestSlots([makeRequest('other', { entryId: 'e2' })], rig.stream);
@@ -114,7 +114,7 @@
    * leader detects the end of the first. The request was charged twice, and the decision went to
    * the first stream.
    */
-  it('should tell the newest stream that asked, and know what it was asked for before', async () => {
+  it('should send the decision to the newest stream of a repeated request', async () => {
     const rig = new PlacementRig(1);
     const later: PlaceDecisions[] = [];
     const stream = new PlacementStream(
@@ -132,7 +132,7 @@
   });
 
   // The caller disconnects while its request waits: the next request gets the slot.
-  it('should take out what nobody waits for, and refund it', async () => {
+  it('should remove and refund requests that the entry dropped', async () => {
     const rig = new PlacementRig(1);
     rig.service.requestSlots(['a', 'b', 'c'].map((id) => makeRequest(id)), rig.stream);
     rig.service.applyReports([report('b', 'dropped')]);
@@ -143,7 +143,7 @@
   });
 
   // An entry with waiting requests takes the leader for unavailable after 250 ms without a message.
-  it('should show an entry whose requests wait that it is there', async () => {
+  it('should send keep-alive messages to an entry with waiting requests', async () => {
     const rig = new PlacementRig(1);
     rig.service.requestSlots([makeRequest('a'), makeRequest('b', { targetMs: 60_000 })], rig.stream);
     await settle();
--- a/tests/control/record-cache.spec.ts
+++ b/tests/control/record-cache.spec.ts
@@ -23,9 +23,9 @@
   return [cache, await cache.load()];
 };
 
-describe('what is remembered over a restart', () => {
+describe('the cache of records on disk', () => {
   // The table of another leader may have the same revision as the table that was written last.
-  it('should be written anew where the table of another leader has the same revision', async () => {
+  it('should be rewritten when the table of another leader has the same revision', async () => {
     const files = new MemoryFileSystem();
     const [cache] = await openCache<WorkerRecord>(files, WorkerRecord.fromPartial);
     let now = 0;
@@ -54,7 +54,7 @@
   });
 
   // Writes are rate-limited, and skipped when nothing changed.
-  it('should be written once where nothing changed, and not again at once', async () => {
+  it('should be written once when nothing changed, and not again within the write interval', async () => {
     const files = new MemoryFileSystem();
     const [cache] = await openCache<object>(files, () => ({}));
     let writes = 0;
--- a/tests/control/routed-site.spec.ts
+++ b/tests/control/routed-site.spec.ts
@@ -35,7 +35,7 @@
    * Entries that take a restarting replica for the leader open streams to it before it has found
    * the other replicas. The resulting error ended the process each time.
    */
-  it('should end the stream of who asks a replica that still looks for the others', async () => {
+  it('should end the stream to a replica that still searches for the other replicas', async () => {
     const started = await ControlSite.open(3);
     site = started;
     const starting = started.start(0, true);
@@ -51,7 +51,7 @@
 
   // A follower that failed to apply one reply of the leader stopped following. It missed all later
   // servers and entries, and became the leader without them when the leader was lost.
-  it('should go on following after an answer that it cannot take in', async () => {
+  it('should continue to follow after a reply that cannot be applied', async () => {
     const started = await found();
     const position = [0, 1, 2].find((other) => other !== started.findLeader()) ?? 0;
     const follow = vi.spyOn(started.findNode(position), 'follow').mockImplementationOnce(() => {
@@ -74,7 +74,7 @@
    * A change with many routes was never accepted: each leader resent 470 KB of log entries to four
    * replicas every 75 ms, missed its heartbeats over that, and was replaced.
    */
-  it('should carry a document of many routes packed, and give it back as it was sent', async () => {
+  it('should store a document of many routes packed, and return it unchanged', async () => {
     const started = await found();
     const routes = Array.from({ length: 1_449 }, (unused, position) => makeRoute({
       name: `r${position}`, pathPrefix: `/${(position * 7_919).toString(36)}/`,
@@ -91,7 +91,7 @@
   });
 
   // Two operators race, an acknowledgement is lost, and the older change is sent again.
-  it('should acknowledge what is older or held already, without effect', async () => {
+  it('should acknowledge older and repeated versions without effect', async () => {
     const started = await found();
     const newest = formatDocument(9);
     await publish(0, newest);
@@ -101,7 +101,7 @@
     expect((await started.findNode(1).readLatestDocument()).document).toBe(newest);
   });
 
-  it('should refuse an invalid document with every fault and keep the one in force', async () => {
+  it('should refuse an invalid document with every fault and keep the current one', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     const routes = [makeRoute({ timeoutMs: 0, targets: [] })];
@@ -113,7 +113,7 @@
   });
 
   // A replica loses its disk right after it acknowledged a change, without a repair by hand.
-  it('should take a replica with an empty disk in again, and lose nothing that was accepted', async () => {
+  it('should readmit a replica with an empty disk, and lose no accepted change', async () => {
     const started = await found();
     await publish(0, formatDocument(5));
     const leader = await started.waitLeader();
@@ -133,7 +133,7 @@
   });
 
   // A machine is lost for good, and another one joins at a new address with an empty disk.
-  it('should put a newcomer at another address in the place of one that is gone', async () => {
+  it('should replace a lost replica by a new one at another address', async () => {
     const started = await found(4);
     await publish(0, formatDocument(5));
     const leader = await started.waitLeader();
@@ -167,7 +167,7 @@
   });
 
   // A leader that lost its cached records must get them from another replica.
-  it('should come back with what one replica remembered where another one leads', async () => {
+  it('should recover the records that one replica cached if another one leads', async () => {
     const started = await found();
     await publish(0, formatDocument(7));
     const leader = started.findNode(await started.waitLeader());
@@ -187,7 +187,7 @@
   });
 
   // A founder that restarts before the others have found it must not form a second site.
-  it('should found one site when a founder is restarted in the middle', async () => {
+  it('should found one site when a founder restarts during the founding', async () => {
     site = await ControlSite.open(3);
     const started = site;
     const first = started.start(0, true);
@@ -199,7 +199,7 @@
     expect(new Set(sets).size).toBe(1);
   });
 
-  it('should answer a held question at once when a backend server leaves', async () => {
+  it('should answer a held watch request at once when a backend server leaves', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     const leader = started.findNode(await started.waitLeader());
@@ -229,7 +229,7 @@
    * made the leader's lease lapse now and then. Meanwhile it placed no requests, and the entries
    * only had their last grants.
    */
-  it('should place requests while its lease has lapsed and nobody else leads', async () => {
+  it('should place requests while its lease has lapsed and no other replica leads', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     const leader = await started.waitLeader();
@@ -274,7 +274,7 @@
   });
 
   // Two replicas that each take the other for the leader would forward an announcement in a loop.
-  it('should not forward what another replica forwarded', async () => {
+  it('should not forward an announcement that another replica forwarded', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     const leader = await started.waitLeader();
@@ -293,7 +293,7 @@
    * After a change of leaders it had sent the revision of its old list; the list of the new leader
    * had the same revision by chance, and was omitted from the reply.
    */
-  it('should tell its entries to one that counts by the list of another leader', async () => {
+  it('should send its entry list to an entry that holds the list of another leader', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     const leader = started.findNode(await started.waitLeader());
@@ -307,7 +307,7 @@
     expect((await ask('another', entriesRevision)).entries).toHaveLength(1);
   });
 
-  it('should read nothing without a majority', async () => {
+  it('should refuse reads without a majority', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
     await Promise.all([1, 2].map((position) => started.stop(position)));
--- a/tests/control/suspect-updates.spec.ts
+++ b/tests/control/suspect-updates.spec.ts
@@ -6,9 +6,9 @@
 /** Most retries that may reach servers after three crashes and the time for updates to arrive. */
 const MAX_LATE_SENDS = 3;
 
-describe('news of requests that end servers', () => {
+describe('updates on requests that crash servers', () => {
   // No order of partitions, lost leaders and restarts may let such a request reach more servers.
-  it('should keep such a request from all entries in touch, and nobody who did nothing', () => {
+  it('should make all reachable entries refuse such a request, and no harmless request', () => {
     const runs = runSearch(fc.property(drawSteps, (steps) => {
       const { lateSends, breaches, falselyRefused } = new SuspectModel().run(steps);
       expect(lateSends).toBeLessThanOrEqual(MAX_LATE_SENDS);
--- a/tests/control/watch-service.spec.ts
+++ b/tests/control/watch-service.spec.ts
@@ -59,13 +59,13 @@
   return { desk: service, workersEpoch: registry.table.epoch };
 };
 
-describe('the desk where entries ask the leader', () => {
+describe('the watch service of a leader', () => {
   /*
    * Four changes were accepted within half a second. After each, the leader answered two hundred
    * entries in one turn of its event loop and sent no heartbeat meanwhile. Two leaders were
    * replaced within a second, and callers got no engine.
    */
-  it('should let the heartbeats of the leader go between its answers to many entries', async () => {
+  it('should send heartbeats of the leader between its replies to many entries', async () => {
     const watches = new HeldCalls();
     let answers = 0;
     const { desk: service, workersEpoch } = makeService(watches, () => {
--- a/tests/control/work-meter.spec.ts
+++ b/tests/control/work-meter.spec.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '../../src/telemetry/logger';
 
 describe('the work of a leader', () => {
-  it('should be told by kind, each time since the line before, with the longest delay', () => {
+  it('should be logged by kind since the last log line, with the longest delay', () => {
     let now = 0;
     const lines: object[] = [];
     const logger = {
--- a/tests/control/worker-updates.spec.ts
+++ b/tests/control/worker-updates.spec.ts
@@ -14,7 +14,7 @@
     workerId: `w${position}`, service: 'm', address: `10.0.0.${position}:80`, zone: 'a', slots: 6, state: 'ready', sequence: 1,
   })));
 
-describe('news of backend servers', () => {
+describe('updates on backend servers', () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -53,7 +53,7 @@
    * entries send watch requests to the new leader. It answered all entries twenty times, and these
    * 4,000 replies delayed those to the operator and the other replicas too much.
    */
-  it('should cost a leader of many entries a bounded number of answers', async () => {
+  it('should cost a leader of many entries a bounded number of replies', async () => {
     expect(await countAnswers(ENTRIES)).toBeLessThanOrEqual(1_000);
   });
 
