--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -253,7 +253,7 @@
   server.add(SiteService, makeService(nodeReference, identity, self, logger));
   await server.listen(settings.address);
   const founders = await new SeedFounding({
-    record: identity,
+    identity,
     readSelf: () => self,
     seeds: settings.readSeeds(),
     isFirstStart: settings.isFirstStart,
--- a/src/control/seedFounding.ts
+++ b/src/control/seedFounding.ts
@@ -7,7 +7,7 @@
 
 /** Dependencies of founding. */
 export interface SeedFoundingParts {
-  readonly record: ReplicaIdentity;
+  readonly identity: ReplicaIdentity;
   readonly readSelf: () => Replica;
   /** gRPC addresses of the founding replicas. */
   readonly seeds: readonly string[];
@@ -33,22 +33,22 @@
 
   /** Resolves with the initial voters of the site; empty if this replica joins an existing site. */
   async waitForFounders(): Promise<readonly Replica[]> {
-    const { record } = this.parts;
-    if (record.founders) return record.founders;
+    const { identity } = this.parts;
+    if (identity.founders) return identity.founders;
     const founders = await this.findFounders();
-    await record.saveFounders(founders);
+    await identity.saveFounders(founders);
     return founders;
   }
 
   private async findFounders(): Promise<readonly Replica[]> {
     const {
-      seeds, readSelf, isFirstStart, record,
+      seeds, readSelf, isFirstStart, identity,
     } = this.parts;
     const self = readSelf();
     const isSeed = seeds.includes(self.address);
     // A founder that was killed before it could start may be restarted without the flag for a first
     // start. Its stored identity shows that it is a founder.
-    if (!isSeed || !(isFirstStart || record.existedAtStart)) return [];
+    if (!isSeed || !(isFirstStart || identity.existedAtStart)) return [];
     return this.poll(self, seeds.filter((address) => address !== self.address));
   }
 
