--- a/src/entry/callers/activeTable.ts
+++ b/src/entry/callers/activeTable.ts
@@ -2,23 +2,23 @@
 import type { CallerRequest } from './callerRequest';
 import type { PooledRequest } from '../choosing/scheduler';
 
-/** Requests that this entry has taken and not finished. */
+/** Requests that this entry has accepted and not finished. */
 export class ActiveTable {
   private readonly running = new Map<string, PooledRequest>();
 
   private readonly unfinished = new Set<string>();
 
-  /** Requests that are waiting or running. */
+  /** Number of requests that are waiting or running. */
   get size(): number {
     return this.unfinished.size;
   }
 
-  /** Counts a request in. */
+  /** Adds an accepted request. */
   add(id: string): void {
     this.unfinished.add(id);
   }
 
-  /** Notes that a request holds a slot. */
+  /** Marks a request as holding a slot. */
   markRunning(request: CallerRequest, workerId: string): void {
     const running: RunningRequest = {
       requestId: request.id,
@@ -31,18 +31,18 @@
     this.running.set(request.id, { pool: request.pool, running });
   }
 
-  /** Notes that a request holds no slot any more. */
+  /** Marks a request as no longer holding a slot. */
   unmarkRunning(id: string): void {
     this.running.delete(id);
   }
 
-  /** Counts a request out. */
+  /** Removes a finished request. */
   remove(id: string): void {
     this.unfinished.delete(id);
     this.running.delete(id);
   }
 
-  /** All that holds a slot. */
+  /** Lists the requests that hold a slot. */
   listRunning(): PooledRequest[] {
     return [...this.running.values()];
   }
--- a/src/entry/callers/answerBuffer.ts
+++ b/src/entry/callers/answerBuffer.ts
@@ -1,9 +1,10 @@
 /**
- * Gathers an answer while it is relayed, so that a resend can have it, up to a bound.
+ * Buffers an answer while it is relayed, up to a size limit, so that a resend can be answered
+ * from the claim.
  *
  * @example
- * const kept = new KeptAnswer(65_536);
- * kept.add(data);
+ * const answer = new AnswerBuffer(65_536);
+ * answer.add(data);
  */
 export class AnswerBuffer {
   private events: string[] = [];
@@ -12,25 +13,25 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Whether all of the answer is within the bound. */
+  /** Whether the whole answer so far is within the size limit. */
   get isComplete(): boolean {
     return this.bytes <= this.maxBytes;
   }
 
-  /** Adds an event; beyond the bound everything is let go. */
+  /** Adds an event. Once the answer exceeds the size limit, all events are discarded. */
   add(data: string): void {
     this.bytes += Buffer.byteLength(data);
     if (this.isComplete) this.events.push(data);
     else this.events = [];
   }
 
-  /** Writes the answer for a claim. */
+  /** Encodes the answer for storage in a claim. */
   encode(): Buffer {
     return Buffer.from(JSON.stringify(this.events));
   }
 }
 
-/** Reads the events of an answer that a claim kept. */
+/** Decodes the events of an answer that was stored in a claim. */
 export const decodeStoredAnswer = (bytes: Uint8Array): string[] => (
   JSON.parse(Buffer.from(bytes).toString()) as string[]
 );
--- a/src/entry/callers/answerSink.ts
+++ b/src/entry/callers/answerSink.ts
@@ -1,8 +1,8 @@
-/** Where an answer goes, event by event. */
+/** Receives an answer event by event. */
 export interface AnswerSink {
-  /** Takes one event; resolves when the caller can take the next. */
+  /** Writes one event; resolves when the caller can receive the next one. */
   readonly deliver: (data: string) => Promise<void>;
-  /** The answer is whole. */
+  /** Ends the complete answer. */
   readonly end: () => Promise<void>;
 }
 
@@ -35,7 +35,7 @@
   : { index: 0, text, finish_reason: finishReason });
 
 /**
- * Folds the events of a stream into one completion, for callers that did not ask for a stream.
+ * Merges the events of a stream into one completion, for callers that did not request a stream.
  *
  * @example
  * const completion = foldEvents(events, true);
@@ -54,7 +54,7 @@
   };
 };
 
-/** Whether an event carries generated text; the last ones of a stream may carry none. */
+/** Whether an event contains generated text. The last events of a stream may contain none. */
 export const hasToken = (data: string): boolean => {
   const { choices } = JSON.parse(data) as Chunk;
   return Boolean(choices?.[0]?.delta?.content ?? choices?.[0]?.text);
--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -29,19 +29,19 @@
 import { formatWorkerStatus } from '../choosing/workerStatus';
 
 /**
- * A request beyond its deadline may still be served while lower tiers hold slots; then it is given
- * up.
+ * How long a request may wait beyond its deadline. It may still be served while lower tiers hold
+ * slots; afterwards it fails.
  */
 const WAIT_EXTENSION_MS = 30_000;
-/** An answer that has begun is relayed to its end, however late, within this. */
+/** Maximum time to relay an answer. Within it a late answer is relayed to its end. */
 const RELAY_TIMEOUT_MS = 1_800_000;
-/** How long a repeatable answer goes on without its caller before it is cancelled. */
+/** How long the answer of a repeatable request continues after its caller disconnected. */
 const DISCONNECT_GRACE_MS = 10_000;
-/** How often a backend server is asked to announce itself. */
+/** Announcement interval that is requested from backend servers. */
 const ANNOUNCE_INTERVAL_MS = 1_000;
 const BEARER = /^Bearer\s+(\S.*)$/i;
 
-/** What the caller-facing API of an entry is made of. */
+/** Dependencies of the caller-facing API of an entry. */
 export interface CallerApiParts {
   readonly id: string;
   readonly zone: string;
@@ -59,7 +59,7 @@
   readonly isLeaving: () => boolean;
 }
 
-/** A completion request that was checked. */
+/** A validated completion request. */
 export interface CheckedCompletion {
   readonly request: CallerRequest;
   readonly headers: CallerHeaders;
@@ -75,28 +75,28 @@
   readonly isDisconnected: () => boolean;
 }
 
-/** One entry VM that a caller may use. */
+/** An entry VM that a caller may use. */
 export interface LocatedEntry {
   readonly id: string;
   readonly address: string;
   readonly zone: string;
 }
 
-/** Answer to a locate. */
+/** Answer to a locate request. */
 export interface LocateAnswer {
   readonly entries: readonly LocatedEntry[];
-  /** How long the answer may be kept, in milliseconds. */
+  /** How long the caller may cache the answer, in milliseconds. */
   readonly keepMs: number;
-  /** When the older scheduler is to take this caller's requests. */
+  /** Addresses of the older scheduler, when it is to serve this caller's requests. */
   readonly older?: readonly string[];
 }
 
 /**
- * What callers and backend servers can ask of an entry; it knows nothing of HTTP.
+ * The operations that an entry offers to callers and backend servers, independent of HTTP.
  *
  * @example
- * const call = api.readCompletion(path, body, headers);
- * await api.runCompletion(call, sink, link);
+ * const completion = api.readCompletion(path, body, headers);
+ * await api.runCompletion(completion, sink, connection);
  */
 export class CallerApi {
   private readonly accountByHash = new Map<string, KnownAccount>();
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Checks a completion request. */
+  /** Validates a completion request. */
   readCompletion(path: string, body: Buffer, headers: CallerHeaders): CheckedCompletion {
     const manifest = this.requireServing();
     const known = this.findAccount(headers);
@@ -119,7 +119,7 @@
     return { request, headers };
   }
 
-  /** Runs a completion; resolves when the answer is whole, throws when there is none. */
+  /** Runs a completion; resolves when the answer is complete, throws when there is none. */
   async runCompletion(
     { request, headers }: CheckedCompletion,
     sink: AnswerSink,
@@ -150,7 +150,7 @@
     );
   }
 
-  /** Tells a caller which entry VMs to use, and for how long. */
+  /** Returns the entry VMs that a caller may use, and how long this answer is valid. */
   locate(headers: CallerHeaders): LocateAnswer {
     const manifest = this.requireServing(true);
     const known = this.findAccount(headers);
@@ -166,14 +166,14 @@
     };
   }
 
-  /** Takes in what a backend server says of itself. */
+  /** Handles the announcement of a backend server. */
   async announce(body: Buffer): Promise<{ readonly nextMs: number }> {
     const manifest = this.requireServing(true);
     await this.parts.scheduler.announce(readAnnouncement(body.toString(), manifest));
     return { nextMs: ANNOUNCE_INTERVAL_MS };
   }
 
-  /** What this entry has in force. */
+  /** Returns the configuration in force and the state of the owned pools, for the status page. */
   readStatus(): object {
     const { configuration, active, id } = this.parts;
     return {
@@ -194,7 +194,7 @@
     };
   }
 
-  /** Text for a scrape. */
+  /** Formats the metrics for a scrape. */
   formatMetrics(): Promise<string> {
     const { metrics, configuration, scheduler } = this.parts;
     metrics.version.set(configuration.version);
@@ -267,7 +267,7 @@
       context,
       claim: new RequestClaim(request, claims),
       waitOperation: makeWaitOperation(),
-      makeWaitOperation: makeWaitOperation,
+      makeWaitOperation,
       relayOperation: new Operation({ timeoutMs: RELAY_TIMEOUT_MS, clock }),
       startedAt: clock.now(),
       unexecutedDispatches: 0,
@@ -277,15 +277,16 @@
   }
 
   /**
-   * A caller that is gone takes its waiting request with it. An answer that has begun is cancelled
-   * when nobody can ask for it again, after a grace when it may be repeated, and never when it may
-   * not.
+   * Cancels the work of a caller that disconnected. A waiting request is cancelled at once. An
+   * idempotent request that was dispatched is cancelled at once without a key, and after a grace
+   * period with one, because a resend may still request its answer. A request that is not
+   * idempotent is never cancelled.
    */
   private handleDisconnect(job: RequestJob): void {
-    job.waitOperation.cancel('caller gone');
+    job.waitOperation.cancel('caller disconnected');
     if (!job.request.isIdempotent) return;
     const graceMs = job.claim.hasKey ? DISCONNECT_GRACE_MS : 0;
-    setTimeout(() => job.relayOperation.cancel('caller gone'), graceMs).unref();
+    setTimeout(() => job.relayOperation.cancel('caller disconnected'), graceMs).unref();
   }
 
   private makeId(): string {
@@ -306,13 +307,13 @@
 
   private checkBodySize(body: Buffer, { limits }: Manifest): void {
     if (body.length <= limits.bodyBytes) return;
-    throw new BeechliftError('bodyTooLarge', `the body has ${body.length} bytes, at most ${limits.bodyBytes} are taken`);
+    throw new BeechliftError('bodyTooLarge', `the body has ${body.length} bytes, the limit is ${limits.bodyBytes}`);
   }
 
   private findAccount(headers: CallerHeaders): KnownAccount {
     const key = BEARER.exec(String(headers.authorization ?? ''))?.[1] ?? '';
     const known = this.accountByHash.get(computeSha256(key));
-    // The table is found by hash; the comparison in constant time settles it.
+    // The account is looked up by hash, then the key is compared in constant time.
     if (!known || !isKeyOf(key, known.account.keyHashes)) {
       throw new BeechliftError('unknownKey', `no client account has this API key (${resultCodes.unknownKey.number})`);
     }
@@ -326,7 +327,7 @@
     });
   }
 
-  /** Sticky by account: the same accounts stay with the older scheduler while the share stands. */
+  /** Selects by account: the same accounts stay on the older scheduler until the share changes. */
   private findOlderAddresses(
     manifest: Manifest,
     { name, account }: KnownAccount,
--- a/src/entry/callers/callerRequest.ts
+++ b/src/entry/callers/callerRequest.ts
@@ -3,7 +3,7 @@
 import type { ClientAccount, Manifest, Service } from '../../manifest/manifest';
 import { BeechliftError } from '../../errors/beechliftError';
 
-/** Headers that callers may send beside the usual ones. */
+/** Headers that callers may send in addition to the standard ones. */
 export const CALLER_HEADERS = {
   idempotencyKey: 'idempotency-key',
   tier: 'beechlift-tier',
@@ -12,13 +12,13 @@
   zone: 'beechlift-zone',
 } as const;
 
-/** A request that was checked and may be scheduled. */
+/** A validated request that may be scheduled. */
 export interface CallerRequest {
   readonly id: string;
   readonly account: string;
   readonly tier: string;
   readonly pool: string;
-  /** Model or service. */
+  /** Name of the model or service. */
   readonly target: string;
   readonly path: string;
   readonly body: string;
@@ -38,7 +38,7 @@
   readonly account: ClientAccount;
 }
 
-/** Headers as the HTTP server gives them. */
+/** Request headers as the HTTP server provides them. */
 export type CallerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
 interface CompletionBody {
@@ -58,7 +58,7 @@
   return Array.isArray(value) ? value[0] ?? '' : value ?? '';
 };
 
-/** Tokens that a text has, about. */
+/** Estimates the number of tokens of a text. */
 export const estimateTokens = (text: string): number => Math.ceil(
   text.length / CHARACTERS_PER_TOKEN,
 );
@@ -91,7 +91,7 @@
   '/v1/completions': ({ prompt }) => readPrompt(prompt),
 };
 
-/** Paths under which models answer. */
+/** Paths of completion requests. */
 export const COMPLETION_PATHS: readonly string[] = Object.keys(promptReaders);
 
 const parseBody = (text: string): CompletionBody => {
@@ -99,19 +99,19 @@
   try {
     body = JSON.parse(text);
   } catch (cause) {
-    throw new BeechliftError('malformedJson', `the body is no JSON: ${(cause as Error).message}`);
+    throw new BeechliftError('malformedJson', `the body is not valid JSON: ${(cause as Error).message}`);
   }
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
-    throw new BeechliftError('invalidRequest', '/: expected an object');
+    throw new BeechliftError('invalidRequest', '/: expected a JSON object');
   }
   return body;
 };
 
 /**
- * Chooses the tier: the one that is asked for, or the first that the account holds.
+ * Selects the tier: the requested one, or the account's first tier when none is requested.
  *
  * @example
- * const tier = pickTier(manifest, known, request.headers);
+ * const tier = pickTier(known, request.headers);
  */
 export const pickTier = (known: KnownAccount, headers: CallerHeaders): string => {
   const requestedTier = readHeader(headers, CALLER_HEADERS.tier);
@@ -140,7 +140,7 @@
     throw new BeechliftError('invalidRequest', `Idempotency-Key: expected at most ${MAX_KEY_LENGTH} characters, got ${idempotencyKey.length}`);
   }
   if (!isIdempotent && idempotencyKey === '') {
-    throw new BeechliftError('keyRequired', 'this request may not run twice, so it needs an Idempotency-Key');
+    throw new BeechliftError('keyRequired', 'this request is not idempotent, so it requires an Idempotency-Key');
   }
   return { idempotencyKey, isIdempotent };
 };
@@ -160,7 +160,7 @@
   throw new BeechliftError('invalidRequest', `/max_tokens: expected a whole number above 0, got ${JSON.stringify(value).slice(0, 60)}`);
 };
 
-/** What a completion request is checked against. */
+/** A completion request before validation, with its account and the manifest in force. */
 export interface CompletionInput {
   readonly id: string;
   readonly path: string;
@@ -171,7 +171,7 @@
 }
 
 /**
- * Checks a completion request and works out what the scheduler needs of it.
+ * Validates a completion request and derives the fields that the scheduler needs.
  *
  * @example
  * const request = readCompletionRequest({ id, path, text, headers, known, manifest });
@@ -184,12 +184,12 @@
   const tier = pickTier(known, headers);
   const target = typeof body.model === 'string' ? body.model : '';
   const pool = findPool(manifest, 'models', target);
-  if (pool === undefined) throw new BeechliftError('unknownModel', `no pool carries model "${target.slice(0, 128)}" in manifest version ${manifest.version}`);
+  if (pool === undefined) throw new BeechliftError('unknownModel', `no pool serves model "${target.slice(0, 128)}" in manifest version ${manifest.version}`);
   const prompt = promptReaders[path]?.(body) ?? '';
   const promptTokens = estimateTokens(prompt);
   const { contextTokens } = manifest.models[target] ?? { contextTokens: 0 };
   if (promptTokens > contextTokens) {
-    throw new BeechliftError('bodyTooLarge', `the prompt has about ${promptTokens} tokens, model "${target}" takes ${contextTokens}`);
+    throw new BeechliftError('bodyTooLarge', `the prompt has about ${promptTokens} tokens, model "${target}" accepts at most ${contextTokens}`);
   }
   return {
     id,
@@ -209,7 +209,7 @@
   };
 };
 
-/** What a service call is checked against. */
+/** A service call before validation, with its account and the manifest in force. */
 export interface ServiceInput {
   readonly id: string;
   readonly name: string;
@@ -228,7 +228,7 @@
 };
 
 /**
- * Checks a call to a plain service.
+ * Validates a call to a plain service.
  *
  * @example
  * const request = readServiceRequest({ id, name: 'tags', method: 'GET', path, body, headers, known,
@@ -241,7 +241,7 @@
   const service = findService(input);
   const tier = pickTier(known, headers);
   const pool = findPool(manifest, 'services', name);
-  if (pool === undefined) throw new BeechliftError('unknownService', `no pool carries service "${name.slice(0, 128)}"`);
+  if (pool === undefined) throw new BeechliftError('unknownService', `no pool serves service "${name.slice(0, 128)}"`);
   const maxMs = Math.min(service.timeoutMs, manifest.tiers[tier]?.totalMs ?? service.timeoutMs);
   return {
     id,
--- a/src/entry/choosing/announcement.ts
+++ b/src/entry/choosing/announcement.ts
@@ -51,12 +51,12 @@
   try {
     return JSON.parse(text);
   } catch (cause) {
-    throw new BeechliftError('announcementInvalid', `the body is no JSON: ${(cause as Error).message}`);
+    throw new BeechliftError('announcementInvalid', `the body is not valid JSON: ${(cause as Error).message}`);
   }
 };
 
 /**
- * Checks an announcement of a backend server against its form and the manifest.
+ * Validates an announcement of a backend server against its schema and the manifest.
  *
  * @example
  * const announcement = readAnnouncement(body, manifest);
@@ -73,7 +73,7 @@
     throw new BeechliftError('unknownPool', `manifest version ${manifest.version} has no ${announcement.kind} pool "${announcement.pool}"`);
   }
   if (pool.secretHash !== '' && !isKeyOf(announcement.secret, [pool.secretHash])) {
-    throw new BeechliftError('announcementRefused', `pool "${announcement.pool}" asks for a secret that this backend server did not give`);
+    throw new BeechliftError('announcementRefused', `pool "${announcement.pool}" requires a secret, and the announcement has none or a wrong one`);
   }
   const carried = pool.kind === 'model' ? pool.models : pool.services;
   return {
--- a/src/entry/choosing/announcementCache.ts
+++ b/src/entry/choosing/announcementCache.ts
@@ -2,10 +2,10 @@
 import { MAX_ANNOUNCEMENT_DELAY_MS } from '../../core/schedule/announcements';
 import type { Announcement } from '../../protocol/generated/beechlift';
 
-/** How long an announcement is good for an owner that takes over. */
+/** How long an announcement can be used by a new owner of the pool, in milliseconds. */
 const MAX_AGE_MS = 3_000;
 
-/** Most announcements kept; more than a site's backend servers. */
+/** Maximum number of cached announcements; larger than the number of backend servers of a site. */
 const MAX_ANNOUNCEMENTS = 10_000;
 
 interface CachedAnnouncement {
@@ -16,28 +16,28 @@
 const formatIncarnationKey = ({ id, incarnation }: Announcement): string => JSON.stringify([id, incarnation]);
 
 /**
- * What backend servers said here of late, for an entry that takes a pool over. Knows nothing of the
- * wire; all times are monotonic milliseconds.
+ * Caches the recent announcements of backend servers, for an entry that becomes the owner of a
+ * pool. Does no I/O; all times are monotonic milliseconds.
  *
- * Guards a server that leaves against an older "ready" of its own: it tells its entries in turn, so
- * the newest word that one entry holds may be from before it said that it leaves. That word given
- * to a new owner had the leaving server sent up to four new requests in the 70 ms until the owner
- * heard the later one. A start that said that it leaves is remembered, and its "ready" is not kept
- * within the longest way of an announcement.
+ * Prevents new requests to a server that is leaving. A server announces itself to its entries one
+ * after the other, so the latest announcement that one entry has may be older than "leaving". A
+ * new owner that starts with such a "ready" would send requests to the leaving server until it
+ * receives the later announcement. Therefore the cache records each incarnation that is leaving,
+ * and ignores its "ready" for the maximum delay of an announcement.
  *
  * @example
- * const isNews = memo.keep(announcement, clock.now());
+ * const isNewlyLeaving = cache.store(announcement, clock.now());
  */
 export class AnnouncementCache {
   private readonly cached = new LRUCache<string, CachedAnnouncement>({ max: MAX_ANNOUNCEMENTS });
 
-  /** When each start of a server was last heard to leave. */
+  /** When each incarnation of a server last announced that it is leaving. */
   private readonly leftAt = new LRUCache<string, number>({ max: MAX_ANNOUNCEMENTS });
 
   /**
-   * Keeps an announcement.
+   * Stores an announcement.
    *
-   * @returns whether it says for the first time here that this start of the server leaves
+   * @returns whether it is the first one here that reports this incarnation as leaving
    */
   store(announcement: Announcement, now: number): boolean {
     const incarnationKey = formatIncarnationKey(announcement);
@@ -45,14 +45,14 @@
     const isLeaving = announcement.state === 'leaving';
     const mayBeOutdated = leftAt !== undefined && now - leftAt < MAX_ANNOUNCEMENT_DELAY_MS;
     if (!isLeaving && mayBeOutdated) return false;
-    // A server that is ready after all may leave again: that is news once more.
+    // A server that became ready again may leave again, which must be reported as new.
     if (isLeaving) this.leftAt.set(incarnationKey, now);
     else this.leftAt.delete(incarnationKey);
     this.cached.set(announcement.id, { announcement, at: now });
     return isLeaving && leftAt === undefined;
   }
 
-  /** Lists what was said of late. */
+  /** Lists the announcements that are recent enough to be used. */
   list(now: number): readonly Announcement[] {
     return [...this.cached.values()]
       .filter(({ at }) => now - at <= MAX_AGE_MS)
--- a/src/entry/choosing/announcementForwarder.ts
+++ b/src/entry/choosing/announcementForwarder.ts
@@ -7,30 +7,30 @@
 import type { Configuration } from '../inForce/configuration';
 import { AnnouncementCache } from './announcementCache';
 
-/** How long another entry may take to answer, in milliseconds. */
+/** Timeout of a call to another entry, in milliseconds. */
 const FORWARD_TIMEOUT_MS = 800;
 
-/** What spreading announcements needs. */
+/** Dependencies of the announcement forwarder. */
 export interface AnnouncementForwarderParts {
   /** Id of this entry. */
   readonly id: string;
   readonly configuration: Configuration;
   readonly peers: LinkTable<PeerClient>;
   readonly clock: Clock;
-  /** Whether a pool has one owner for all entries; without, each takes in what it hears itself. */
+  /** Whether all entries share one owner per pool; otherwise each uses what it receives itself. */
   readonly hasSharedOwner: boolean;
   readonly findOwner: (pool: string) => Member | undefined;
-  /** Asks control for the members as they are now. */
+  /** Requests the current members from control. */
   readonly refreshView: () => Promise<unknown>;
-  /** Gives an announcement to the pool's owner, where that is this entry. */
+  /** Applies an announcement to the pool, if this entry owns it. */
   readonly applyAnnouncement: (announcement: Announcement) => void;
 }
 
 /**
- * Brings what backend servers say of themselves to the owners of their pools.
+ * Forwards the announcements of backend servers to the owners of their pools.
  *
  * @example
- * await spread.announce(announcement);
+ * await forwarder.announce(announcement);
  */
 export class AnnouncementForwarder {
   private readonly cache = new AnnouncementCache();
@@ -38,15 +38,15 @@
   constructor(private readonly parts: AnnouncementForwarderParts) {}
 
   /**
-   * Brings an announcement to the pool's owner, and keeps it for an owner that takes over. That a
-   * server leaves is told to every member before it is acknowledged, so that whoever owns the pool
-   * next knows it. The members are asked for first: an entry that joined within the last heartbeat
-   * may own the pool already, with a "ready" that it heard since.
+   * Forwards an announcement to the pool's owner, and caches it in case this entry becomes the
+   * owner. An announcement that a server is leaving goes to every member before it is acknowledged,
+   * so that any later owner has it. The view is refreshed first: an entry that joined since the
+   * last heartbeat may already own the pool, with a "ready" that it has received since then.
    */
   async announce(announcement: Announcement): Promise<void> {
     const isNewlyLeaving = this.store(announcement);
     const {
-      findOwner, hasSharedOwner: hasSharedOwner, refreshView, applyAnnouncement: applyAnnouncement,
+      findOwner, hasSharedOwner, refreshView, applyAnnouncement,
     } = this.parts;
     if (isNewlyLeaving && hasSharedOwner) await refreshView();
     const owner = findOwner(announcement.pool);
@@ -60,23 +60,24 @@
   }
 
   /**
-   * Takes in an announcement that another entry forwarded. One that leaves is handed on once to
-   * whom this entry takes for the owner, as the teller may know an older view.
+   * Handles an announcement that another entry forwarded. The first one that reports a server as
+   * leaving is forwarded once more, to the owner in this entry's view, because the sender may have
+   * an older view.
    */
   async handleForwarded(announcement: Announcement): Promise<void> {
-    const { id, findOwner, applyAnnouncement: applyAnnouncement } = this.parts;
+    const { id, findOwner, applyAnnouncement } = this.parts;
     const isNewlyLeaving = announcement.state === 'leaving' && this.store(announcement);
     applyAnnouncement(announcement);
     const owner = findOwner(announcement.pool);
     if (isNewlyLeaving && owner && owner.id !== id) await this.forward(owner, announcement);
   }
 
-  /** Lists what an owner that takes over begins with. */
+  /** Lists the announcements that a new owner starts with. */
   listRecent(): readonly Announcement[] {
     return this.cache.list(this.parts.clock.now());
   }
 
-  /** Announces what is kept once more: an owner that took over learns of it now. */
+  /** Forwards the cached announcements again, so that a new owner receives them at once. */
   announceAgain(): void {
     this.listRecent().forEach((announcement) => {
       this.announce(announcement).catch(() => undefined);
@@ -84,8 +85,8 @@
   }
 
   /*
-   * Guards a pool's new owner against what it heard before it was a member: nobody told it then
-   * who leaves.
+   * Ignores announcements while this entry is not a member: other entries don't forward to it yet
+   * which servers are leaving, so as a new owner it could rely on an outdated "ready".
    */
   private store(announcement: Announcement): boolean {
     const { configuration, id, clock } = this.parts;
@@ -93,7 +94,7 @@
     return this.cache.store(announcement, clock.now());
   }
 
-  /** An entry that doesn't answer in time is not waited for: its own view then ends soon. */
+  /** Does not wait for an entry that doesn't answer in time: its own view expires soon. */
   private async forwardToOthers(announcement: Announcement, owner: Member): Promise<void> {
     const others = this.parts.configuration.members
       .filter(({ id }) => id !== owner.id && id !== this.parts.id);
--- a/src/entry/choosing/orderSender.ts
+++ b/src/entry/choosing/orderSender.ts
@@ -9,7 +9,8 @@
 const resultByStatus: Readonly<Record<number, OrderResult>> = { 200: 'taken', 202: 'taken', 409: 'outbid' };
 
 /**
- * Sends orders to backend servers: the whole state that one is to carry, with a fencing number.
+ * Sends orders to backend servers. An order contains the complete desired state of the server and
+ * a fencing number.
  *
  * @example
  * const result = await orders.send('10.1.0.7:8000', desired, 12);
@@ -17,12 +18,12 @@
 export class OrderSender {
   constructor(private readonly metrics: Metrics, private readonly logger: Logger) {}
 
-  /** Sends one order; what the server carries is read back from its announcements. */
+  /** Sends one order. The resulting state is read from the server's later announcements. */
   async send(address: string, desired: DesiredState, fencing: number): Promise<OrderResult> {
     const result = await this.put(address, { ...desired, fencing })
       .then((reply) => this.readResult(address, reply, fencing))
       .catch((thrown: unknown): OrderResult => {
-        this.logger.warn('order not delivered, it is repeated', { address, cause: toBeechliftError(thrown).message });
+        this.logger.warn('order not delivered, it will be sent again', { address, cause: toBeechliftError(thrown).message });
         return 'failed';
       });
     this.metrics.orders.inc({ result });
@@ -49,7 +50,7 @@
     fencing: number,
   ): OrderResult {
     const result = resultByStatus[statusCode] ?? 'failed';
-    if (result !== 'taken') this.logger.warn('order refused', { address, statusCode, fencing });
+    if (result !== 'taken') this.logger.warn('order refused by backend server', { address, statusCode, fencing });
     return result;
   }
 }
--- a/src/entry/choosing/ownerMovedReply.ts
+++ b/src/entry/choosing/ownerMovedReply.ts
@@ -2,10 +2,10 @@
 import { resultCodes } from '../../errors/resultCodes';
 
 /**
- * Answers an ask that reached an entry which does not own the pool, or no longer does.
+ * Builds the reply to an ask that reached an entry which does not own the pool, or no longer does.
  *
  * @example
- * resolve(makeMovedReply('another entry VM owns pool "engines"'));
+ * resolve(makeOwnerMovedReply('another entry VM owns pool "engines"'));
  */
 export const makeOwnerMovedReply = (message: string): AskReply => ({
   code: resultCodes.ownerMoved.number,
--- a/src/entry/choosing/poolOwner.ts
+++ b/src/entry/choosing/poolOwner.ts
@@ -15,7 +15,7 @@
 
 type Decision = EffectOf<'grant' | 'refuse'>;
 
-/** An order that the owner decided on. */
+/** An order that the owner's schedule produced. */
 export type OrderEffect = EffectOf<'order'>;
 
 const toReply: { [Kind in Decision['kind']]: (effect: EffectOf<Kind>) => AskReply } = {
@@ -57,17 +57,17 @@
   askNumber: ask.askNumber,
 });
 
-/** A question that is not answered yet. */
+/** An ask that has not been answered yet. */
 interface PendingAsk {
   readonly askNumber: number;
   readonly resolve: (reply: AskReply) => void;
 }
 
 /**
- * Owns one pool: the queue before it and the slots in it. Knows nothing of the wire.
+ * Owns one pool: its queue and its slots. Does no I/O.
  *
  * @example
- * const owner = new PoolOwner(tables, systemClock, (order) => sender.send(order));
+ * const owner = new PoolOwner(tables, systemClock, (order) => sendOrder(pool, order));
  * const reply = await owner.ask(request);
  */
 export class PoolOwner {
@@ -80,13 +80,13 @@
   ) {}
 
   /**
-   * Waits for a slot; resolves when the request is granted or refused. An entry that lost the
-   * connection asks again with a higher number: the newest question alone is waited on.
+   * Waits for a slot; resolves when the request is granted or refused. An entry that lost its
+   * connection asks again with a higher number. Only the ask with the highest number stays pending.
    */
   ask(ask: AskRequest): Promise<AskReply> {
     const { requestId, askNumber } = ask;
     const previous = this.pendingAsks.get(requestId);
-    const replacedReply = makeOwnerMovedReply(`request "${requestId}" was asked for again since`);
+    const replacedReply = makeOwnerMovedReply(`request "${requestId}" was replaced by a newer ask`);
     if (previous && previous.askNumber > askNumber) return Promise.resolve(replacedReply);
     previous?.resolve(replacedReply);
     return new Promise((resolve) => {
@@ -96,10 +96,10 @@
   }
 
   /**
-   * Takes a request out that its entry gave up; a grant that crossed it on the way is taken back.
+   * Removes a request that its entry cancelled, and revokes a grant that was sent at the same time.
    *
-   * Guards a question that was asked again against the late end of the call before it, which stands
-   * for the earlier number only.
+   * The late cancellation of an earlier call must not remove a newer ask of the same request, so it
+   * applies to the ask number of that call only.
    */
   drop(ask: AskRequest): void {
     const pending = this.pendingAsks.get(ask.requestId);
@@ -107,27 +107,27 @@
     this.handleEvent({ kind: 'report', report: buildDropReport(ask) });
   }
 
-  /** Notes how a granted request goes. */
+  /** Applies a report on the progress of a granted request. */
   report(report: ReportRequest): void {
     this.handleEvent({ kind: 'report', report });
   }
 
-  /** Notes all that an entry runs. */
+  /** Applies the list of all requests that an entry runs. */
   register(register: RegisterRequest): void {
     this.handleEvent({ kind: 'register', register });
   }
 
-  /** Notes what a backend server says of itself. */
+  /** Applies the announcement of a backend server. */
   announce(announcement: Announcement): void {
     const { workers, config, pool } = this.tables;
     const { workersPerPool } = config.limits;
     if (!workers.has(announcement.id) && workers.size >= workersPerPool) {
-      throw new BeechliftError('tooManyBackends', `pool "${pool}" has ${workers.size} backend servers, at most ${workersPerPool} are taken`);
+      throw new BeechliftError('tooManyBackends', `pool "${pool}" has ${workers.size} backend servers, the limit is ${workersPerPool}`);
     }
     this.handleEvent({ kind: 'announce', announcement });
   }
 
-  /** Runs an event and answers whoever it decides on. */
+  /** Handles an event, answers the requests that it grants or refuses, and sends its orders. */
   handleEvent(event: ScheduleEvent): void {
     handleScheduleEvent(this.tables, event, this.clock.now())
       .forEach((effect) => {
@@ -136,7 +136,7 @@
       });
   }
 
-  /** Answers all that wait, when another entry owns the pool. */
+  /** Answers all pending asks, because another entry owns the pool now. */
   close(): void {
     const pendingAsks = [...this.pendingAsks.values()];
     this.pendingAsks.clear();
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -21,7 +21,7 @@
 
 const PEER_TIMEOUT_MS = 800;
 const OWNER_RETRY_MS = 100;
-/** An earlier owner may go on granting until it hears of the view or its lease ends. */
+/** The previous owner may grant slots until it receives the new view or its lease expires. */
 const HANDOVER_MS = GRANT_TIMEOUT_MS + 3_000;
 
 /** A running request with its pool. */
@@ -30,22 +30,22 @@
   readonly running: RunningRequest;
 }
 
-/** What the scheduler needs. */
+/** Dependencies of the scheduler. */
 export interface SchedulerParts {
   readonly id: string;
   readonly configuration: Configuration;
   readonly peers: LinkTable<PeerClient>;
   readonly clock: Clock;
-  /** All that this entry has dispatched and not finished. */
+  /** Lists the requests that this entry has dispatched and not finished. */
   readonly listRunning: () => readonly PooledRequest[];
   readonly orders: OrderSender;
-  /** Asks control for the members as they are now; resolves as well when it does not answer. */
+  /** Requests the current members from control; resolves also when control does not answer. */
   readonly refreshView: () => Promise<unknown>;
   readonly policy?: PolicySettings;
 }
 
 /**
- * Brings asks, reports and announcements to the owner of their pool: this entry or a peer.
+ * Routes asks, reports and announcements to the owner of their pool: this entry or a peer.
  *
  * @example
  * const reply = await scheduler.ask(ask, operation);
@@ -55,12 +55,12 @@
 
   private readonly forwarder: AnnouncementForwarder;
 
-  /** View in which each pool's owner was last told that nothing runs here. */
+  /** Number of the view in which each pool's owner last received an empty list of requests. */
   private readonly registeredEmpty = new Map<string, number>();
 
   private readonly policy: PolicySettings;
 
-  /** Questions asked so far, over all requests: names the newest in asks and reports. */
+  /** Number of asks so far, over all requests; asks and reports carry it to identify the latest. */
   private askNumber = 0;
 
   constructor(private readonly parts: SchedulerParts) {
@@ -82,14 +82,14 @@
     return [...this.owners.values()];
   }
 
-  /** Waits for a slot at the pool's owner; asks the new owner when the pool moves meanwhile. */
+  /** Waits for a slot from the pool's owner; asks the new owner when the ownership changes. */
   async ask(
     fields: Omit<AskRequest, 'askNumber'>,
     operation: Operation,
     headers: Readonly<Record<string,
       string>> = {},
   ): Promise<AskReply> {
-    if (operation.signal.aborted) throw new BeechliftError('callerGone', 'the caller is gone');
+    if (operation.signal.aborted) throw new BeechliftError('callerGone', 'the caller disconnected');
     this.askNumber += 1;
     const ask = { ...fields, askNumber: this.askNumber };
     const reply = await this.askOwner(ask, operation, headers);
@@ -97,24 +97,25 @@
     if (operation.remainingMs <= OWNER_RETRY_MS) {
       throw new BeechliftError('noSlotInTime', `the owner of pool "${ask.pool}" did not answer in time`, { steps: operation.steps, retryAfterMs: PEER_TIMEOUT_MS });
     }
-    operation.note(`owner of pool "${ask.pool}" moved or does not answer`);
+    operation.note(`the owner of pool "${ask.pool}" changed or does not answer`);
     await pause(OWNER_RETRY_MS);
     const deadlineMs = Math.max(0, ask.deadlineMs - OWNER_RETRY_MS);
     return this.ask({ ...ask, deadlineMs }, operation, headers);
   }
 
-  /** Asks here, for an entry that takes this one for the owner. */
+  /** Handles the ask of an entry that has this entry as the owner in its view. */
   handleAsk(ask: AskRequest, onCancel: (listener: () => void) => void): Promise<AskReply> {
     const owner = this.findOrTakeOver(ask.pool);
     if (!owner) return Promise.resolve(this.makeNotOwnerReply(ask.pool));
     const reply = owner.ask(ask);
-    // After the question, as a call may be over before it is handled.
+    // Registered after the ask, because the call may already be cancelled when it is handled.
     onCancel(() => owner.drop(ask));
     return reply;
   }
 
   /**
-   * Tells the owner how a granted request goes; what is lost on the way is made good by `register`.
+   * Reports the progress of a granted request to the owner. A lost report is corrected by the next
+   * `register`.
    */
   report(fields: Omit<ReportRequest, 'askNumber'>): void {
     const owner = this.findOwnerMember(fields.pool);
@@ -131,7 +132,7 @@
     ).catch(() => undefined);
   }
 
-  /** Tells every owner all that runs here. */
+  /** Sends every owner the list of all requests that run here. */
   async register(): Promise<void> {
     const pools = Object.keys(this.parts.configuration.manifest?.pools ?? {});
     const running = this.parts.listRunning();
@@ -146,32 +147,32 @@
       .map((request) => this.registerPool(request)));
   }
 
-  /** Takes in what another entry runs. */
+  /** Handles the list of requests that another entry runs. */
   handleRegister(request: RegisterRequest): void {
     this.findOrTakeOver(request.pool)?.register(request);
   }
 
-  /** Takes in a report of another entry. */
+  /** Handles a report of another entry. */
   handleReport(report: ReportRequest): void {
     this.findOrTakeOver(report.pool)?.report(report);
   }
 
-  /** Brings an announcement of a backend server to the pool's owner. */
+  /** Forwards an announcement of a backend server to the pool's owner. */
   announce(announcement: Announcement): Promise<void> {
     return this.forwarder.announce(announcement);
   }
 
-  /** Takes in an announcement that another entry forwarded. */
+  /** Handles an announcement that another entry forwarded. */
   handleForwardedAnnouncement(announcement: Announcement): Promise<void> {
     return this.forwarder.handleForwarded(announcement);
   }
 
-  /** Runs the systems of all owned pools. */
+  /** Runs the time-driven systems of all owned pools. */
   tick(): void {
     this.owners.forEach((owner) => owner.handleEvent({ kind: 'tick' }));
   }
 
-  /** Whether the owner knows already that nothing runs here; a new owner comes with a new view. */
+  /** An empty list is sent once per view, as a new owner always has a new view. */
   private needsRegistration({ pool, running, viewNumber }: RegisterRequest): boolean {
     return running.length > 0 || this.registeredEmpty.get(pool) !== viewNumber;
   }
@@ -179,7 +180,7 @@
   private findOwnerMember(pool: string): Member | undefined {
     const { configuration, id } = this.parts;
     const self = configuration.members.find((member) => member.id === id);
-    // The baselines decide at each entry alone.
+    // With the baseline policies each entry schedules on its own.
     if (this.policy.name !== 'owner') return self;
     return findOwner(configuration.members, pool);
   }
@@ -191,8 +192,8 @@
   }
 
   /*
-   * Guards against tier inversion at a hand-over: until every entry has told what it runs, and the
-   * grants of the owner before can no longer start, this owner refuses nothing but the lowest tier.
+   * Prevents tier inversion at a hand-over: until every entry has registered what it runs, and the
+   * grants of the previous owner can no longer start, this owner refuses only the lowest tier.
    */
   private takeOver(pool: string): PoolOwner | undefined {
     const { configuration, clock } = this.parts;
@@ -210,9 +211,9 @@
   }
 
   /*
-   * Guards against an order of an owner that is none any more: the lease and the owner are looked
-   * at right before it is sent, and the view's number goes with it as the fencing number. A view
-   * names one owner of a pool, and an owner that took over has a higher view.
+   * Prevents orders from a former owner: the lease and the ownership are checked right before the
+   * order is sent, and the view number is sent as the fencing number. Each view determines one
+   * owner of a pool, and a new owner always has a higher view number.
    */
   private sendOrder(pool: string, order: OrderEffect): void {
     const { configuration, id, orders } = this.parts;
@@ -301,7 +302,7 @@
     this.owners.forEach((owner) => owner.handleEvent({ kind: 'membersChanged', entryIds }));
     this.parts.peers.keep(members.map(({ peerAddress }) => peerAddress));
     this.register().catch(() => undefined);
-    // An owner that took over learns of the backend servers now and not at their next announcement.
+    // A new owner receives the backend servers now instead of at their next announcement.
     this.forwarder.announceAgain();
   }
 
--- a/src/entry/choosing/slotClient.ts
+++ b/src/entry/choosing/slotClient.ts
@@ -10,7 +10,7 @@
 /** How a granted request ended. */
 export type SlotOutcome = 'complete' | 'failed' | 'cancelled' | 'unreachable';
 
-/** What a request took. */
+/** Measured times and output of a request. */
 export interface SlotTimes {
   readonly firstTokenMs: number;
   readonly totalMs: number;
@@ -20,11 +20,11 @@
 const NO_TIMES: SlotTimes = { firstTokenMs: 0, totalMs: 0, outputTokens: 0 };
 
 /**
- * Gets slots from the owner of a pool and tells it how they are used.
+ * Acquires slots from the owner of a pool and reports to it how they are used.
  *
  * @example
- * const grant = await slots.take(request, operation, context);
- * slots.finish(request, 'complete', times);
+ * const grant = await slots.acquire(request, operation, context);
+ * slots.release(request, 'complete', times);
  */
 export class SlotClient {
   constructor(
@@ -37,10 +37,10 @@
   ) {}
 
   /**
-   * Waits for a slot; throws the refusal when there is none.
+   * Waits for a slot; throws the refusal when the request gets none.
    *
-   * Guards a slot whose grant crosses the cancellation of its question: neither end of the call
-   * hears of the other, so the owner is told that nobody uses it.
+   * A grant and the cancellation of its ask can cross on the network. The owner then has granted a
+   * slot that no entry uses, so a cancelled ask also reports the slot as unused.
    */
   async acquire(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
     const { span, below } = this.tracer.startHop(
@@ -68,18 +68,18 @@
     }
   }
 
-  /** The first token came. */
+  /** Reports the first token of the answer. */
   reportFirstToken(request: CallerRequest): void {
     this.report(request, 'started', 'complete', NO_TIMES);
   }
 
-  /** The slot is free again. */
+  /** Releases the slot of a request that ended. */
   release(request: CallerRequest, outcome: SlotOutcome, times: SlotTimes = NO_TIMES): void {
     this.active.unmarkRunning(request.id);
     this.report(request, 'finished', outcome, times);
   }
 
-  /** The slot was never used. */
+  /** Releases a slot that was never used. */
   releaseUnused(request: CallerRequest): void {
     this.active.unmarkRunning(request.id);
     this.report(request, 'dropped', 'cancelled', NO_TIMES);
--- a/src/entry/choosing/workerStatus.ts
+++ b/src/entry/choosing/workerStatus.ts
@@ -1,7 +1,7 @@
 import type { ScheduleTables, WorkerEntity } from '../../core/schedule/scheduleTypes';
 
 /**
- * What the status page shows of a worker.
+ * Formats a worker for the status page.
  *
  * @example
  * [...tables.workers.values()].map((worker) => formatWorkerStatus(tables, worker));
--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -30,23 +30,23 @@
 const REGISTER_INTERVAL_MS = 2_000;
 const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** State of an entry as the view shows it. */
+/** State of an entry, as listed in the view. */
 export type MemberState = 'active' | 'leaving' | 'gone';
 
-/** An entry process that runs. */
+/** A running entry process. */
 export interface RunningEntry {
   readonly api: CallerApi;
   readonly configuration: Configuration;
   readonly scheduler: Scheduler;
   readonly peerAddress: string;
-  /** Sets the address under which callers reach this entry, once its HTTP server listens. */
+  /** Sets the address that callers use for this entry, once its HTTP server listens. */
   readonly setCallerAddress: (address: string) => void;
-  /** Leaves the view, waits until callers have stopped coming and all answers are whole. */
+  /** Leaves the view, then waits until no new callers arrive and all answers are complete. */
   readonly drain: () => Promise<void>;
   readonly stop: () => Promise<void>;
 }
 
-/** What an entry process needs from outside. */
+/** Dependencies of an entry process. */
 export interface EntryParts {
   readonly settings: EntrySettings;
   readonly logger: Logger;
@@ -59,8 +59,7 @@
 };
 
 /**
- * Starts an entry: its links, its scheduler and its heartbeat. The HTTP server is put before it by
- * the wiring.
+ * Starts an entry: its links, its scheduler and its heartbeat. The wiring adds the HTTP server.
  *
  * @example
  * const entry = await startEntry({ settings, logger });
@@ -159,8 +158,8 @@
     await waitUntilIdle(deadline);
   };
   /*
-   * Guards callers against being cut off: locate stops naming this entry first; callers that still
-   * hold an older answer are served until that answer has run out; then what is open is finished.
+   * Prevents aborted answers during shutdown. First, locate stops listing this entry. Callers with
+   * a cached locate answer are served until that answer expires. Then open requests are finished.
    */
   const drain = async (): Promise<void> => {
     state = 'leaving';
--- a/src/entry/inForce/configuration.ts
+++ b/src/entry/inForce/configuration.ts
@@ -5,23 +5,23 @@
 import { applyChanges, computeDigest } from '../../manifest/manifestDelta';
 import type { Clock } from '../../utils/clock';
 
-/** Called when a newer manifest or view is in force here. */
+/** Callbacks for a newer manifest or view that is now in force in this process. */
 export interface ConfigurationListener {
   readonly onManifestChange: (manifest: Manifest) => void;
   readonly onMembersChange: (members: readonly Member[], viewNumber: number) => void;
 }
 
 /**
- * What an entry knows of the accepted configuration, and until when it may rely on it.
+ * The accepted configuration as far as this entry has received it, and the lease to use it.
  *
- * Guards against serving on an older configuration while the site has accepted a newer one: without
- * a lease that was asked for recently enough, the entry takes no new work. Versions only go up, so
- * that a reply which was delayed, or a peer that lags, reverts nothing.
+ * Prevents serving an outdated configuration after the site accepted a newer one: without a valid
+ * lease the entry accepts no new work. Versions only increase, so that a delayed reply or a peer
+ * that is behind reverts nothing.
  *
  * @example
  * const configuration = new Configuration(systemClock);
  * configuration.applyReply(reply, sentAt);
- * if (!configuration.isServing) refuse('configurationStale');
+ * if (!configuration.isServing) throw new BeechliftError('configurationStale', message);
  */
 export class Configuration {
   manifest: Manifest | undefined;
@@ -40,17 +40,17 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Version in force here; 0 before the first. */
+  /** Version of the manifest in force; 0 before the first one. */
   get version(): number {
     return this.manifest?.version ?? 0;
   }
 
-  /** Milliseconds that the lease still lasts. */
+  /** Remaining time of the lease, in milliseconds. */
   get leaseMs(): number {
     return Math.max(0, this.leaseExpiresAt - this.clock.now());
   }
 
-  /** Whether new work may be taken. */
+  /** Whether new work may be accepted. */
   get isServing(): boolean {
     return this.manifest !== undefined && this.leaseMs > 0;
   }
@@ -61,10 +61,10 @@
   }
 
   /**
-   * Takes in a reply of control, or the proof of a peer.
+   * Applies a reply of control, or the proof of a peer.
    *
-   * @param sentAt when the request left, monotonic milliseconds: the lease counts from there
-   * @returns whether all of it could be applied
+   * @param sentAt when the request was sent, in monotonic milliseconds; the lease starts there
+   * @returns whether the whole reply was applied
    */
   applyReply(reply: HeartbeatReply, sentAt: number): boolean {
     if (reply.leaseMs <= 0 || reply.manifestVersion < this.version) return false;
@@ -76,7 +76,7 @@
     return true;
   }
 
-  /** What a peer may take as proof: the own configuration and what is left of the lease. */
+  /** Builds the proof for a peer: this entry's configuration and the rest of its lease. */
   buildProof(knownDigest: string, knownView: number): HeartbeatReply {
     return {
       leaderAddress: '',
@@ -97,8 +97,8 @@
     if (reply.manifestVersion === 0 || reply.manifestDigest === this.digest) return true;
     const next = this.readManifest(reply);
     /*
-     * Guards against a delta on a base that is not the one it was made for: only the digest that
-     * the quorum accepted comes into force; otherwise the whole manifest is asked for next.
+     * Prevents applying a delta to the wrong base: a manifest comes into force only when its digest
+     * is the one that the quorum accepted. Otherwise the next heartbeat requests the full manifest.
      */
     if (!next || computeDigest(next) !== reply.manifestDigest) {
       this.digest = '';
--- a/src/entry/inForce/heartbeat.ts
+++ b/src/entry/inForce/heartbeat.ts
@@ -9,11 +9,11 @@
 
 const CALL_TIMEOUT_MS = 400;
 const MAX_CALL_TIMEOUT_MS = 3_200;
-/** A lease with less left than this is renewed through peers when control does not answer. */
+/** Below this remaining lease time peers are asked when control does not answer. */
 const LOW_LEASE_MS = 2_000;
 const MAX_PEERS_PER_RENEWAL = 3;
 
-/** What the heartbeat needs. */
+/** Dependencies of the heartbeat. */
 export interface HeartbeatParts {
   readonly configuration: Configuration;
   readonly controlAddresses: readonly string[];
@@ -24,11 +24,11 @@
 }
 
 /**
- * Keeps an entry known to the control leader and its configuration lease alive.
+ * Reports an entry to the control leader and renews its configuration lease.
  *
  * @example
  * const heartbeat = new Heartbeat(parts);
- * await heartbeat.beat();
+ * await heartbeat.send();
  */
 export class Heartbeat {
   private leaderAddress: string;
@@ -43,7 +43,7 @@
     this.leaderAddress = parts.controlAddresses[0] ?? '';
   }
 
-  /** Sends one heartbeat, unless one is under way already. Returns whether a lease came. */
+  /** Sends a heartbeat, or joins the one in flight; returns whether the lease was renewed. */
   send(): Promise<boolean> {
     this.inFlight ??= this.renewLease().finally(() => {
       this.inFlight = undefined;
@@ -51,13 +51,13 @@
     return this.inFlight;
   }
 
-  /** Sends one heartbeat that tells the state as it is now, after any that is under way. */
+  /** Sends a heartbeat with the latest state, after the one that may be in flight. */
   async sendLatestState(): Promise<boolean> {
     await this.inFlight;
     return this.send();
   }
 
-  /** Asks the leader, then the other replicas, then peers. */
+  /** Tries the leader first, then another replica, then peers. */
   private async renewLease(): Promise<boolean> {
     const renewed = await this.renewFromControl(this.leaderAddress) || await this.renewFromNextReplica();
     this.updateTimeout(renewed);
@@ -67,8 +67,8 @@
   }
 
   /*
-   * Guards an entry whose manifest is large: whole, with 13,000 accounts, it does not arrive within
-   * the time of an ordinary heartbeat, and the entry would ask for it for ever.
+   * A full manifest with thousands of accounts does not arrive within the timeout of an ordinary
+   * heartbeat. Without a longer timeout the entry would request it again for ever.
    */
   private updateTimeout(renewed: boolean): void {
     this.timeoutMs = renewed
@@ -107,7 +107,7 @@
     else if (reply.leaderAddress !== '') this.leaderAddress = reply.leaderAddress;
   }
 
-  /** The next replica in turn, which may lead itself or name the leader. */
+  /** Tries the next replica in rotation, which may be the leader or return its address. */
   private async renewFromNextReplica(): Promise<boolean> {
     const { controlAddresses } = this.parts;
     this.rotation += 1;
@@ -118,9 +118,9 @@
   }
 
   /*
-   * Guards an entry that is cut off from control but not from its peers: a peer's lease proves as
-   * much, for as long as that lease lasts. It counts from before this entry asked, so it never
-   * outlives the peer's own.
+   * Keeps an entry serving that cannot reach control but can reach its peers: the lease of a peer
+   * is as valid a proof, for the rest of that lease. The time starts before the request is sent, so
+   * the lease never lasts longer than the peer's.
    */
   private async renewFromPeers(): Promise<boolean> {
     const { configuration, readMember } = this.parts;
--- a/src/entry/peers/peerService.ts
+++ b/src/entry/peers/peerService.ts
@@ -5,7 +5,7 @@
 import type { Scheduler } from '../choosing/scheduler';
 
 /**
- * The wire side of an entry towards other entries: turns messages into calls and nothing more.
+ * Builds the RPC service that an entry offers to other entries; it only maps messages to calls.
  *
  * @example
  * server.add(PeerService, makePeerService(scheduler, configuration, tracer));
--- a/src/entry/sending/answerRelay.ts
+++ b/src/entry/sending/answerRelay.ts
@@ -6,7 +6,7 @@
 import type { EngineClient, EngineEvent } from './engineClient';
 import { UnknownStreamError } from './unknownStreamError';
 
-/** A stream that was dispatched, and where it can be taken up again. */
+/** A dispatched stream and the address at which it can be resumed. */
 export interface DispatchedStream {
   readonly address: string;
   readonly streamId: string;
@@ -16,28 +16,28 @@
 
 const IDLE_TIMEOUT_MS = 5_000;
 const RESUME_PAUSE_MS = 100;
-/** Attempts in a row without a single event, about four seconds. */
+/** Maximum number of consecutive attempts without an event; with the pauses, about four seconds. */
 const MAX_FAILED_RESUMES = 8;
 
-/** Milliseconds without a byte after which a connection to an engine is given up. */
+/** Time without a byte after which a connection to an engine is closed, in milliseconds. */
 export const ENGINE_IDLE_TIMEOUT_MS = IDLE_TIMEOUT_MS;
 
 /**
- * Passes the events of one stream on, whole and in order, over as many connections as it takes.
+ * Relays the events of one stream completely and in order, over as many connections as needed.
  *
- * Guards against chunks that come late, doubled or out of order: an event is passed on only when
- * its offset is the next one; what was seen already is dropped; a gap is a failed connection, and
- * the stream is taken up again at the offset that is missing.
+ * Handles chunks that arrive late, duplicated or out of order: an event is relayed only when its
+ * offset is the next one, and dropped when it was relayed before. A gap counts as a failed
+ * connection, and the stream is resumed at the missing offset.
  *
  * @example
  * const relay = new AnswerRelay(engines, stream, operation);
  * await relay.run(events, async (event) => { reply.write(event.data); });
  */
 export class AnswerRelay {
-  /** Events passed on so far. */
+  /** Number of events relayed so far. */
   offset = 0;
 
-  /** Times the stream was taken up again. */
+  /** Number of times the stream was resumed. */
   resumes = 0;
 
   private failedResumes = 0;
@@ -48,7 +48,7 @@
     private readonly operation: Operation,
   ) {}
 
-  /** Relays from the first connection on; ends after the last event. */
+  /** Relays the stream to its last event; without a first connection it resumes the stream. */
   async run(
     first: AsyncGenerator<EngineEvent> | undefined,
     deliver: (event: EngineEvent) => Promise<void>,
@@ -68,7 +68,7 @@
     // eslint-disable-next-line no-restricted-syntax -- a stream is read in order
     for await (const event of events) {
       if (event.offset > this.offset) {
-        throw new EngineFailure('maybeSent', `event ${event.offset} came where ${this.offset} was due`);
+        throw new EngineFailure('maybeSent', `received event ${event.offset}, expected event ${this.offset}`);
       }
       if (event.offset === this.offset) {
         this.offset += 1;
--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -13,12 +13,13 @@
 import type { LinkTable } from '../../wire/linkTable';
 import { makeSupersededError } from './supersededError';
 
-/** A claim that this entry has taken. */
+/** A claim that this entry has prepared at a majority of its holders. */
 export interface PreparedClaim {
   readonly key: string;
   readonly ballot: Ballot;
   /**
-   * What was agreed on before; a new dispatch is allowed only without it or when it was released.
+   * The value that was accepted before; a new dispatch is allowed only without one or after it was
+   * released.
    */
   readonly bound: ClaimValue | undefined;
 }
@@ -26,7 +27,7 @@
 interface Round {
   readonly replies: Map<string, ClaimReply>;
   readonly won: boolean;
-  /** Why holders could not be asked. */
+  /** Errors of the calls that failed. */
   readonly failures: readonly string[];
 }
 
@@ -69,18 +70,18 @@
 const hasHigherBallot = ({ replies }: Round): boolean => [...replies.values()]
   .some(({ code }) => code === resultCodes.ballotTooLow.number);
 
-/** Doubles with every attempt, with a random part, so that two that outbid each other part. */
+/** Doubles with every attempt; the random part prevents two proposers from colliding repeatedly. */
 const computePauseMs = (attemptsLeft: number): number => {
   const maxPauseMs = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (MAX_ATTEMPTS - attemptsLeft));
   return maxPauseMs * (0.5 + Math.random() / 2);
 };
 
 /**
- * Takes claims at a majority of their holders.
+ * Prepares and writes claims at a majority of their holders.
  *
  * @example
- * const ticket = await claims.prepare('kiosks\nroom-17', operation);
- * await claims.accept(ticket, value, operation);
+ * const claim = await claims.prepare('kiosks\nroom-17', operation);
+ * await claims.accept(claim, value, operation);
  */
 export class ClaimClient {
   private sequence = 0;
@@ -92,7 +93,7 @@
     private readonly wait: (ms: number) => Promise<unknown> = pause,
   ) {}
 
-  /** Takes a claim over from whoever has it, and tells what was agreed on before. */
+  /** Takes over a claim from any earlier proposer, and returns the value accepted before. */
   async prepare(key: string, operation: Operation): Promise<PreparedClaim> {
     this.sequence += 1;
     const proposer = `${this.proposer}:${this.sequence}`;
@@ -100,17 +101,17 @@
   }
 
   /**
-   * Writes what becomes of the request; fails when another entry has taken the claim over since, or
-   * no majority answers. After a failure nothing may be sent on the strength of this ticket.
+   * Writes the state of the request. Fails when another entry has taken over the claim, or when no
+   * majority answers. After a failure nothing may be sent under this claim.
    */
   async accept(claim: PreparedClaim, value: ClaimValue, operation: Operation): Promise<void> {
     await this.tryAccept(claim, value, operation, MAX_ATTEMPTS);
   }
 
   /*
-   * Guards a request against holders that are slow for a moment, as their votes wait for a disk:
-   * they are asked again, which changes nothing for those that took the value. Whoever took the
-   * claim over meanwhile has a higher ballot, and the next attempt fails.
+   * Retries when holders are slow for a moment because their votes wait for a disk. Sending the
+   * value again has no effect on holders that accepted it. An entry that took over the claim in
+   * the meantime has a higher ballot, so the next attempt fails.
    */
   private async tryAccept(
     claim: PreparedClaim,
@@ -128,7 +129,7 @@
       operation,
     ));
     if (round.won) return;
-    operation.note(`claim "${value.state}" lost: ${formatRound(round)}`);
+    operation.note(`writing claim state "${value.state}" failed: ${formatRound(round)}`);
     if (hasHigherBallot(round)) {
       throw makeSupersededError(operation.steps);
     }
@@ -150,18 +151,17 @@
       operation,
     ));
     if (round.won) return { key, ballot, bound: findAcceptedValue(round.replies.values()) };
-    operation.note(`claim: ballot ${ballot.round} lost: ${formatRound(round)}`);
+    operation.note(`preparing the claim with ballot ${ballot.round} failed: ${formatRound(round)}`);
     await this.pauseBeforeRetry(operation, attempts);
     const next = computeNextBallot(ballot.proposer, round.replies.values(), ballot);
     return this.tryPrepare(key, next, operation, attempts - 1);
   }
 
   /**
-   * Waits before the next attempt; throws where none is left.
+   * Waits before the next attempt; throws when no attempt is left.
    *
-   * Guards a request that comes while claim holders are replaced: they refuse the set that this
-   * entry still knows, until its next heartbeat brings the newer one. Trying again at once used up
-   * all attempts within 20 ms.
+   * While claim holders are replaced, they refuse the older holder set of this entry until its next
+   * heartbeat returns the newer one. Immediate retries would use up all attempts before that.
    */
   private async pauseBeforeRetry(operation: Operation, attempts: number): Promise<void> {
     if (attempts <= 1 || operation.remainingMs === 0 || operation.signal.aborted) {
@@ -185,7 +185,7 @@
   }
 }
 
-/** Whether a claim leaves the way free for a dispatch. */
+/** Whether a prepared claim allows a new dispatch. */
 export const canDispatch = ({ bound }: PreparedClaim): boolean => (
   bound === undefined || bound.state === 'released'
 );
--- a/src/entry/sending/engineClient.ts
+++ b/src/entry/sending/engineClient.ts
@@ -8,16 +8,16 @@
 import { EngineRefusal } from './engineRefusal';
 import { toEngineFailure } from './toEngineFailure';
 
-/** One event of an engine's stream: its place in the answer and its data. */
+/** One event of an engine's stream: its offset in the answer and its data. */
 export interface EngineEvent {
   readonly offset: number;
   readonly data: string;
 }
 
-/** What a cancel says of a stream. */
+/** State of a stream, as the engine reports it when the stream is cancelled. */
 export type CancelState = 'neverSeen' | 'cancelled' | 'finished' | 'unknown';
 
-/** Answer to a cancel. An engine that was started anew knows nothing of the streams before. */
+/** Reply to a cancel. An engine that restarted has no record of its earlier streams. */
 export interface CancelReply {
   readonly state: CancelState;
   readonly incarnation: string;
@@ -33,14 +33,15 @@
   readonly signal: AbortSignal;
 }
 
-/** Where a stream is taken up again. */
+/** A request to resume a stream from an offset. */
 export type EngineResume = Pick<EngineDispatch, 'address' | 'streamId' | 'signal' | 'headers'> & {
   readonly fromOffset: number;
 };
 
 const CONNECT_TIMEOUT_MS = 1_000;
 /**
- * Idle connections are not reused after this long: what lies between may have lost track of them.
+ * Idle connections are not reused after this time: network devices in between may have dropped
+ * their state.
  */
 const IDLE_REUSE_MS = 1_000;
 const MAX_CONNECTIONS = 1_024;
@@ -48,13 +49,13 @@
 const MAX_ERROR_BYTES = 65_536;
 const DONE = '[DONE]';
 
-/** Reads at most so many bytes of an error's body. */
+/** Reads the body of an error and truncates it to `MAX_ERROR_BYTES` characters. */
 const readErrorBody = async (body: Dispatcher.ResponseData['body']): Promise<string> => {
   const text = await body.text();
   return text.slice(0, MAX_ERROR_BYTES);
 };
 
-/** Queue between the parser, which pushes, and the relay, which pulls. */
+/** The events parsed from one chunk, and whether the end of the stream was reached. */
 interface ParsedChunk {
   readonly events: EngineEvent[];
   readonly done: boolean;
@@ -89,7 +90,7 @@
   let timer: NodeJS.Timeout | undefined;
   const idleTimeout = new Promise<never>((resolve, reject) => {
     timer = setTimeout(
-      () => reject(new EngineFailure('maybeSent', `no byte for ${idleTimeoutMs} ms`)),
+      () => reject(new EngineFailure('maybeSent', `no byte received for ${idleTimeoutMs} ms`)),
       idleTimeoutMs,
     );
   });
@@ -101,7 +102,7 @@
 };
 
 /**
- * Speaks with engines: starts, resumes and cancels streams.
+ * HTTP client for engines: starts, resumes and cancels streams.
  *
  * @example
  * const events = await engines.dispatch(dispatch, 5_000);
@@ -117,7 +118,7 @@
     pipelining: 1,
   });
 
-  /** Starts a stream; the events follow as the engine makes them. */
+  /** Starts a stream; returns its events as the engine produces them. */
   async dispatch(
     dispatch: EngineDispatch,
     idleTimeoutMs: number,
@@ -136,7 +137,7 @@
     return this.readEvents(response, 0, idleTimeoutMs);
   }
 
-  /** Takes a stream up again from an offset, over a fresh connection. */
+  /** Resumes a stream from an offset, over a new connection. */
   async resume(resume: EngineResume, idleTimeoutMs: number): Promise<AsyncGenerator<EngineEvent>> {
     const {
       address, streamId, fromOffset, signal, headers,
@@ -148,12 +149,12 @@
       });
       return this.readEvents(response, fromOffset, idleTimeoutMs);
     } finally {
-      // Closes once the stream that runs over it has ended.
+      // Closes only after the stream on this connection has ended.
       fresh.close().catch(() => undefined);
     }
   }
 
-  /** Cancels a stream and bars its id; tells what the engine knew of it. */
+  /** Cancels a stream and blocks its id; returns the state that the engine had for it. */
   async cancel(address: string, streamId: string): Promise<CancelReply> {
     const fresh = this.makeFreshClient(address);
     try {
@@ -197,8 +198,8 @@
   }
 
   /*
-   * Guards against a connection that goes silent in mid-answer: the wait for the next byte is
-   * bounded.
+   * Waits a limited time for the next byte, because a connection can stop delivering data in the
+   * middle of an answer without being closed.
    */
   private async* readEvents(
     response: Dispatcher.ResponseData,
--- a/src/entry/sending/engineRefusal.ts
+++ b/src/entry/sending/engineRefusal.ts
@@ -1,4 +1,4 @@
-/** An engine that answered with an error status. */
+/** An error status that an engine answered with. */
 export class EngineRefusal extends Error {
   constructor(readonly status: number, readonly body: string) {
     super(`the engine answered with status ${status}`);
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -24,11 +24,11 @@
 import { StreamRunner } from './streamRunner';
 import { UnknownStreamError } from './unknownStreamError';
 
-/** Longest time from a written claim to the arrival of its dispatch at the engine. */
+/** Maximum time from a written claim to the arrival of its dispatch at the engine. */
 const MAX_DISPATCH_DELAY_MS = GRANT_TIMEOUT_MS + 500;
 const ARRIVAL_POLL_MS = 100;
 
-/** What runs model requests. */
+/** Dependencies of the model runner. */
 export interface ModelRunnerParts {
   readonly slots: SlotClient;
   readonly engines: EngineClient;
@@ -47,7 +47,7 @@
 }
 
 /**
- * Takes a model request from its claim to the end of its answer.
+ * Runs a model request from acquiring its claim to the end of its answer.
  *
  * @example
  * await runner.run(job);
@@ -59,7 +59,7 @@
     this.streams = new StreamRunner(parts);
   }
 
-  /** Runs a request; resolves when its answer is whole, throws when it gets none. */
+  /** Runs a request; resolves when its answer is complete, throws when there is none. */
   async run(job: RequestJob): Promise<void> {
     const grant = await this.acquireClaimAndSlot(job);
     if (grant) await this.dispatch(job, grant);
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Takes the claim while the request queues, so that it costs no time of its own.
+   * Acquires the claim while the request is queued, so that it adds no latency.
    *
-   * @returns the grant, or undefined when an earlier attempt with the same key is to be taken up
+   * @returns the grant, or undefined when an earlier attempt with the same key is to be resumed
    */
   private async acquireClaimAndSlot(job: RequestJob): Promise<AskReply | undefined> {
     const { slots, tracer } = this.parts;
@@ -80,7 +80,7 @@
         throw error;
       })
       .then(() => {
-        if (job.claim.bound) job.waitOperation.cancel('an earlier attempt is taken up');
+        if (job.claim.bound) job.waitOperation.cancel('an earlier attempt with the same key is resumed');
       })
       .finally(() => span.end());
     const granted = slots.acquire(job.request, job.waitOperation, job.context);
@@ -114,15 +114,15 @@
     }
     if (this.isGrantUnusable(job, granted)) {
       this.parts.slots.releaseUnused(job.request);
-      await this.retry(job, 'the grant was too old to be used');
+      await this.retry(job, 'the grant was no longer usable');
       return;
     }
     await this.send(job, granted);
   }
 
   /*
-   * Guards against an entry that was paused between its claim and its dispatch: the grant, the
-   * configuration lease and the caller are looked at again right before the first byte.
+   * An entry may be paused between its claim and its dispatch. The age of the grant, the
+   * configuration lease and the caller are therefore checked right before the first byte is sent.
    */
   private isGrantUnusable(job: RequestJob, { grantedAt, grantMs }: GrantedDispatch): boolean {
     const age = this.parts.clock.now() - grantedAt;
@@ -184,7 +184,7 @@
     const isProven = error.offset === 0 && await this.isProvenNotRun(granted.dispatch);
     this.parts.slots.release(job.request, 'failed');
     if (isProven) {
-      await this.retry(job, 'the engine never saw the stream and bars it now');
+      await this.retry(job, 'the engine never received the stream and blocks it now');
       return;
     }
     this.parts.metrics.wastedPrefill.inc({ reason: 'dropped' }, job.request.promptTokens);
@@ -194,9 +194,10 @@
   }
 
   /*
-   * Guards against running a request twice after a dispatch whose fate is unknown: the engine bars
-   * the stream id and says that it never saw it, and it is the same start of the engine that was
-   * dispatched to. A dispatch that is still on its way is then refused there.
+   * Prevents running a request twice after a dispatch with an unknown outcome. The request
+   * provably did not run when the engine reports that it never received the stream, blocks the
+   * stream id, and is the same incarnation that the request was dispatched to. It then refuses a
+   * dispatch that arrives later.
    */
   private async isProvenNotRun(
     dispatch: Pick<ClaimedDispatch,
@@ -209,7 +210,7 @@
     return state === 'neverSeen' && incarnation !== '' && incarnation === dispatch.workerIncarnation;
   }
 
-  /** Starts over after a dispatch that provably did no work, within the bounds of retries. */
+  /** Retries after a dispatch that provably did no work, within the retry limits. */
   private async retry(job: RequestJob, reason: string): Promise<void> {
     await prepareRetry(this.parts, job, reason);
     const reply = await this.parts.slots.acquire(job.request, job.waitOperation, job.context)
@@ -217,7 +218,7 @@
     await this.dispatch(job, reply);
   }
 
-  /** Answers from what an earlier attempt with the same key did. */
+  /** Answers with the stored or resumed answer of an earlier attempt with the same key. */
   private async answerFromClaim(job: RequestJob): Promise<void> {
     const bound = job.claim.bound as ClaimValue;
     if (bound.state === 'finished' && bound.answerKept) {
@@ -226,15 +227,15 @@
     }
     await job.claim.confirmBound(job.relayOperation);
     if (!bound.canResume) {
-      throw new BeechliftError(bound.state === 'finished' ? 'answerGone' : 'outcomeUnknown', 'the same key was dispatched before, and its answer cannot be taken up again', { retryAfterMs: 1_000 });
+      throw new BeechliftError(bound.state === 'finished' ? 'answerGone' : 'outcomeUnknown', 'a request with the same key was dispatched before, and its answer cannot be resumed', { retryAfterMs: 1_000 });
     }
     await this.resumeBound(job, bound);
   }
 
   /*
-   * Guards against cutting a dispatch off that is still on its way: its entry wrote the claim, and
-   * its first byte follows within the life of a grant. Until then an engine that does not know
-   * the stream proves nothing; to bar the stream would turn a good request into two errors.
+   * Prevents cancelling a dispatch that is still in flight: its entry wrote the claim, and sends
+   * the first byte before the grant expires. Until then, an engine that does not have the stream
+   * proves nothing, and blocking the stream would make both the request and its resend fail.
    */
   private async resumeBound(
     job: RequestJob,
@@ -263,11 +264,11 @@
     error: UnknownStreamError,
   ): Promise<void> {
     if (bound.state === 'finished') {
-      throw new BeechliftError('answerGone', 'the request ran, and neither the engine nor the claim keeps its answer');
+      throw new BeechliftError('answerGone', 'the request ran, but neither the engine nor the claim has its answer any more');
     }
     const isProven = error.offset === 0 && await this.isProvenNotRun(bound);
     if (!isProven) {
-      throw new BeechliftError('outcomeUnknown', 'the engine does not know the stream and cannot prove that it never ran', { steps: job.relayOperation.steps });
+      throw new BeechliftError('outcomeUnknown', 'the engine has no record of the stream and cannot prove that it never ran', { steps: job.relayOperation.steps });
     }
     await this.retry(job, 'the earlier attempt never reached its engine');
   }
--- a/src/entry/sending/modelSteps.ts
+++ b/src/entry/sending/modelSteps.ts
@@ -7,11 +7,11 @@
 import { makeSupersededError } from './supersededError';
 
 /**
- * Judges a dispatch that failed: one that may have arrived is taken up again as a stream, which
- * `undefined` stands for; one that did not is thrown on.
+ * Handles a failed dispatch: returns `undefined` when it may have arrived and its stream can be
+ * resumed, and throws the error again otherwise.
  *
  * @example
- * const events = await engines.dispatch(…).catch((error) => judgeDispatch(error, dispatch));
+ * const events = await engines.dispatch(…).catch((error) => handleDispatchError(error, dispatch));
  */
 export const handleDispatchError = (error: unknown, { canResume }: ClaimedDispatch): undefined => {
   const mayRun = error instanceof EngineFailure && error.reach === 'maybeSent';
@@ -19,7 +19,7 @@
   throw error;
 };
 
-/** Body for the engine, which is always asked for a stream: only a stream can be resumed. */
+/** Builds the body for the engine. It always requests a stream, as only a stream can be resumed. */
 export const buildStreamBody = ({ stream, body }: CallerRequest): string => (
   stream ? body : JSON.stringify({ ...JSON.parse(body) as object, stream: true })
 );
@@ -29,8 +29,8 @@
 const BLOCKED_STREAM_STATUS = 409;
 
 /**
- * What a caller is told when an engine answers with an error status. A stream that is barred there
- * was taken over by a resend of the same key.
+ * Converts an error status of an engine to the error for the caller. A stream that is blocked there
+ * was taken over by a resend with the same key.
  */
 export const toBackendError = ({ status, body }: EngineRefusal): BeechliftError => (
   status === BLOCKED_STREAM_STATUS
@@ -38,7 +38,7 @@
     : new BeechliftError('backendFailed', `the engine answered with status ${status}: ${body.slice(0, MAX_SHOWN_BODY)}`, { run: 'unknown' })
 );
 
-/** Gives a caller an answer that was kept. */
+/** Sends a stored answer to a caller. */
 export const replayAnswer = async (sink: AnswerSink, events: readonly string[]): Promise<void> => {
   await events.reduce((before, data) => before.then(() => sink.deliver(data)), Promise.resolve());
   await sink.end();
--- a/src/entry/sending/prepareRetry.ts
+++ b/src/entry/sending/prepareRetry.ts
@@ -5,7 +5,7 @@
 
 const MAX_ATTEMPTS = 3;
 
-/** What decides whether a request may start over. */
+/** What `prepareRetry` needs to decide whether a request may be retried. */
 export interface PrepareRetryParts {
   readonly budget: RetryBudget;
   readonly metrics: Metrics;
@@ -13,11 +13,12 @@
 }
 
 /**
- * Makes a request ready to start over after a dispatch that provably did no work: gives its claim
- * back, takes a retry from the budget and the claim anew. Throws the final answer when it may not.
+ * Prepares the retry of a request after a dispatch that provably did no work: releases its claim,
+ * consumes one retry from the budget and acquires the claim again. Throws the final error when no
+ * retry is allowed.
  *
  * @example
- * await startOver(parts, job, 'backend server "g1" could not be reached');
+ * await prepareRetry(parts, job, 'backend server "g1" could not be reached');
  */
 export const prepareRetry = async (
   { budget, metrics, isServing }: PrepareRetryParts,
--- a/src/entry/sending/releaseAndRefuse.ts
+++ b/src/entry/sending/releaseAndRefuse.ts
@@ -2,8 +2,8 @@
 import type { RequestJob } from '../callers/requestJob';
 
 /*
- * Guards "not run": it is said only once the claim is given back at a majority, with no byte sent.
- * Where no majority agrees, the caller hears that nobody knows.
+ * Refuses a request for which no byte was sent. It is reported as not run only after its claim was
+ * released at a majority of the holders; without a majority its run state is unknown.
  */
 export const releaseAndRefuse = async (job: RequestJob, reason: unknown): Promise<never> => {
   const error = toBeechliftError(reason);
--- a/src/entry/sending/requestClaim.ts
+++ b/src/entry/sending/requestClaim.ts
@@ -11,7 +11,7 @@
 const RELEASE_TIMEOUT_MS = 1_500;
 const FINISH_TIMEOUT_MS = 5_000;
 
-/** Where a request is dispatched. */
+/** The backend server and stream that a request is dispatched to. */
 export interface ClaimedDispatch {
   readonly workerId: string;
   readonly workerAddress: string;
@@ -20,10 +20,10 @@
   readonly canResume: boolean;
 }
 
-/** An answer that is whole. */
+/** A complete answer. */
 export interface CompletedAnswer {
   readonly answer: {
-    /** Whether the answer is within the bound of what is kept. */
+    /** Whether the answer is within the size limit for stored answers. */
     readonly isComplete: boolean;
     readonly encode: () => Buffer;
   };
@@ -32,11 +32,11 @@
 }
 
 /**
- * The claim of one request. A request without a key has none: nobody can send it again under the
- * same identity, and its entry sends it once.
+ * The claim of one request. A request without a key has none: it cannot be resent under the same
+ * identity, and its entry sends it once.
  *
  * @example
- * await claim.take(operation);
+ * await claim.acquire(operation);
  * await claim.markDispatched(dispatch, operation);
  */
 export class RequestClaim {
@@ -46,17 +46,17 @@
 
   constructor(private readonly request: CallerRequest, private readonly claims: ClaimClient) {}
 
-  /** Whether there is a claim to keep. */
+  /** Whether the request has an idempotency key, and so a claim. */
   get hasKey(): boolean {
     return this.request.idempotencyKey !== '';
   }
 
-  /** What an earlier attempt agreed on and this one is bound to. */
+  /** The accepted value of an earlier attempt, which binds this one. */
   get bound(): ClaimValue | undefined {
     return this.preparedClaim && !canDispatch(this.preparedClaim) ? this.preparedClaim.bound : undefined;
   }
 
-  /** Takes the claim; refuses a key that stands for another body. */
+  /** Acquires the claim; refuses a key that was used with another body. */
   async acquire(operation: Operation): Promise<void> {
     if (!this.hasKey) return;
     const { account, idempotencyKey, bodyHash } = this.request;
@@ -67,19 +67,19 @@
     }
   }
 
-  /** Writes where the request goes. No byte may be sent before this has succeeded. */
+  /** Writes the dispatch of the request. No byte may be sent before this has succeeded. */
   async markDispatched(dispatch: ClaimedDispatch, operation: Operation): Promise<void> {
     await this.write('dispatched', operation, dispatch);
   }
 
-  /** Confirms what is bound, so that it holds at a majority before it is acted on. */
+  /** Writes the bound value again, so that a majority has it before it is used. */
   async confirmBound(operation: Operation): Promise<void> {
     if (!this.preparedClaim?.bound) return;
     this.lastValue = this.preparedClaim.bound;
     await this.claims.accept(this.preparedClaim, this.preparedClaim.bound, operation);
   }
 
-  /** Writes that the answer is whole, with the answer when it is within its bound. */
+  /** Writes that the answer is complete, with the answer itself if it is within the size limit. */
   async finish({ answer, status, contentType }: CompletedAnswer): Promise<void> {
     const fields: Partial<ClaimValue> = {
       ...this.lastValue,
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Gives the claim back: only when this has succeeded is "not run" proven.
+   * Releases the claim. Only after this has succeeded is it proven that the request did not run.
    *
-   * @returns why no majority agreed; such an error says that nobody knows whether it ran
+   * @returns the error when no majority agreed; its run state is unknown
    */
   async release(): Promise<BeechliftError | undefined> {
     if (!this.preparedClaim) return undefined;
@@ -108,11 +108,11 @@
   }
 
   /**
-   * Takes the claim anew for another dispatch, after it was given back; fails when somebody else
-   * has dispatched meanwhile.
+   * Acquires the released claim again for another dispatch; fails when another entry has dispatched
+   * the request in the meantime.
    *
-   * Guards against two runs: a ballot stands for one dispatch. A holder that has heard of the first
-   * but not of the second would tell the next entry of the first, with the same ballot.
+   * Prevents running the request twice: each ballot belongs to one dispatch. With a shared ballot,
+   * a holder that received only the first dispatch would report it to the next entry as current.
    */
   async reacquire(operation: Operation): Promise<void> {
     await this.acquire(operation);
--- a/src/entry/sending/retryBudget.ts
+++ b/src/entry/sending/retryBudget.ts
@@ -2,21 +2,21 @@
 const MAX_TOKENS = 50;
 
 /**
- * Bounds retries to a share of the requests, so that an outage is not made worse by them.
+ * Limits retries to a share of the requests, so that they do not make an outage worse.
  *
  * @example
- * budget.noteRequest();
- * if (budget.take()) retry();
+ * budget.countRequest();
+ * if (budget.tryConsume()) retry();
  */
 export class RetryBudget {
   private tokens = MAX_TOKENS;
 
-  /** Gains a part of a retry. */
+  /** Counts a request, which adds a fraction of a retry. */
   countRequest(): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_REQUEST);
   }
 
-  /** Takes one retry, when there is one left. */
+  /** Consumes one retry, if one is left. */
   tryConsume(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/src/entry/sending/serviceClient.ts
+++ b/src/entry/sending/serviceClient.ts
@@ -14,7 +14,7 @@
   readonly maxBytes: number;
 }
 
-/** What the service answered. */
+/** The answer of a service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -27,7 +27,7 @@
   'proxy-authorization', 'authorization', 'expect',
 ];
 
-/** Headers that concern one connection only, and the caller's API key, are not passed on. */
+/** Selects the headers to forward: without those of one connection and without the API key. */
 export const pickForwardedHeaders = (
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> => Object.fromEntries(
@@ -47,7 +47,7 @@
     bytes += (piece as Buffer).length;
     if (bytes > maxBytes) {
       body.destroy();
-      throw new BeechliftError('answerTooLarge', `the service answered with more than ${maxBytes} bytes`);
+      throw new BeechliftError('answerTooLarge', `the answer of the service exceeds the limit of ${maxBytes} bytes`);
     }
     pieces.push(piece as Buffer);
   }
@@ -55,10 +55,10 @@
 };
 
 /**
- * Calls a plain service over a connection of its own.
+ * Calls a plain service over a new connection.
  *
- * Guards a call that may not be repeated against a pooled connection that went silent while it was
- * idle: the call would be lost on the way with no means to tell whether it ran.
+ * A pooled connection can break unnoticed while it is idle. A call that may not be repeated would
+ * then be lost, and it would be unknown whether it ran.
  *
  * @example
  * const answer = await callService({ address, method: 'GET', path: '/tags/7', … });
--- a/src/entry/sending/serviceRunner.ts
+++ b/src/entry/sending/serviceRunner.ts
@@ -14,14 +14,14 @@
 import type { SlotClient } from '../choosing/slotClient';
 import { prepareRetry } from './prepareRetry';
 
-/** What is sent to the service. */
+/** The HTTP request that is sent to the service. */
 export interface ServiceDispatch {
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
 }
 
-/** What runs service calls. */
+/** Dependencies of the service runner. */
 export interface ServiceRunnerParts {
   readonly slots: SlotClient;
   readonly tracer: HopTracer;
@@ -35,8 +35,8 @@
 const TYPE_HEADER = 'content-type';
 
 /**
- * Takes a call to a plain service from its claim to its answer. A call that was sent is never sent
- * again; one that provably was not goes to another server.
+ * Runs a call to a plain service from acquiring its claim to its answer. A call that may have been
+ * sent is never sent again; one that provably was not is sent to another server.
  *
  * @example
  * const answer = await runner.run(job, { method: 'POST', headers, body });
@@ -44,7 +44,7 @@
 export class ServiceRunner {
   constructor(private readonly parts: ServiceRunnerParts) {}
 
-  /** Runs a call and returns the whole answer. */
+  /** Runs a call and returns the complete answer. */
   async run(job: RequestJob, dispatch: ServiceDispatch): Promise<ServiceAnswer> {
     await job.claim.acquire(job.waitOperation);
     const { bound } = job.claim;
@@ -72,8 +72,8 @@
         body: Buffer.from(bound.answer),
       };
     }
-    if (bound.state === 'finished') throw new BeechliftError('answerGone', 'the call ran, and its answer was too large to be kept');
-    throw new BeechliftError('outcomeUnknown', 'the same key was sent before, and nobody knows yet how it ended', { retryAfterMs: 1_000 });
+    if (bound.state === 'finished') throw new BeechliftError('answerGone', 'the call ran, but its answer was too large to be stored');
+    throw new BeechliftError('outcomeUnknown', 'a call with the same key was sent before, and its outcome is not known', { retryAfterMs: 1_000 });
   }
 
   private async claimDispatch(job: RequestJob, grant: AskReply): Promise<void> {
@@ -93,7 +93,7 @@
     const age = this.parts.clock.now() - grantedAt;
     if (age <= grant.grantMs && this.parts.isServing() && !job.caller.isDisconnected()) return;
     this.parts.slots.releaseUnused(job.request);
-    await releaseAndRefuse(job, new BeechliftError('noSlotInTime', 'the grant was too old to be used', { retryAfterMs: 500 }));
+    await releaseAndRefuse(job, new BeechliftError('noSlotInTime', 'the grant was no longer usable', { retryAfterMs: 500 }));
   }
 
   private async send(
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Keeps the answer before it is given, so that a resend after a crash of this entry finds it. */
+  /** Stores the answer before it is sent, so that a resend after a crash of this entry finds it. */
   private async storeAnswer(job: RequestJob, answer: ServiceAnswer): Promise<void> {
     const { answerBytes } = this.parts.readManifest().limits;
     await job.claim.finish({
@@ -147,6 +147,6 @@
       return this.acquireSlotAndSend(job, dispatch);
     }
     if (error instanceof BeechliftError) throw error;
-    throw new BeechliftError('outcomeUnknown', `the call was sent and no whole answer came: ${(error as Error).message}`);
+    throw new BeechliftError('outcomeUnknown', `the call may have been sent, and no complete answer was received: ${(error as Error).message}`);
   }
 }
--- a/src/entry/sending/streamRunner.ts
+++ b/src/entry/sending/streamRunner.ts
@@ -11,7 +11,7 @@
 
 const ANSWER_TYPE = 'application/json';
 
-/** What runs the stream of a dispatched request. */
+/** Dependencies of the stream runner. */
 export interface StreamRunnerParts {
   readonly slots: SlotClient;
   readonly engines: EngineClient;
@@ -23,7 +23,7 @@
 type RelayResult = SlotTimes & { readonly answer: AnswerBuffer };
 
 /**
- * Brings the stream of a dispatched request to its caller, and notes how long it took.
+ * Relays the stream of a dispatched request to its caller and measures its times.
  *
  * @example
  * await streams.run(job, dispatch, events, headers);
@@ -31,7 +31,7 @@
 export class StreamRunner {
   constructor(private readonly parts: StreamRunnerParts) {}
 
-  /** Relays to the end of the answer; an answer that is whole is kept with the claim. */
+  /** Relays the stream to its end and stores the complete answer with the claim. */
   async run(
     job: RequestJob,
     dispatch: ClaimedDispatch,
@@ -79,7 +79,7 @@
       answer.add(data);
       if (!job.caller.isDisconnected()) await job.sink.deliver(data);
     }).finally(() => metrics.resumes.inc(relay.resumes));
-    return { ...times, answer: answer, totalMs: clock.now() - sentAt };
+    return { ...times, answer, totalMs: clock.now() - sentAt };
   }
 
   private recordFirstToken(job: RequestJob, sentAt: number): number {
--- a/src/entry/sending/supersededError.ts
+++ b/src/entry/sending/supersededError.ts
@@ -1,11 +1,11 @@
 import { BeechliftError } from '../../errors/beechliftError';
 
 /**
- * What a request is told whose key another entry VM has taken over.
+ * Builds the error for a request whose key was taken over by another entry VM.
  *
- * @param steps what was done for it, where that tells more
+ * @param steps the steps of the operation, for the details of the error
  * @example
- * if (wasOutbid(round)) throw makeSupersededError(operation.steps);
+ * if (hasHigherBallot(round)) throw makeSupersededError(operation.steps);
  */
 export const makeSupersededError = (steps?: readonly string[]): BeechliftError => (
   new BeechliftError(
--- a/src/entry/sending/toEngineFailure.ts
+++ b/src/entry/sending/toEngineFailure.ts
@@ -1,13 +1,13 @@
 import { EngineFailure } from './engineFailure';
 
-/** Errors of opening a connection, before anything of the request was written. */
+/** Errors that occur while the connection is opened, before any byte of the request is written. */
 const NOT_SENT_CODES: readonly string[] = [
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL',
 ];
 
 /**
- * Turns what a connection to a backend server threw into a failure that tells whether anything can
- * have arrived there.
+ * Converts the error of a connection to a backend server into a failure with its reach: whether
+ * anything can have arrived there.
  *
  * @example
  * try { await request(url, options); } catch (error) { throw toEngineFailure(error); }
--- a/tests/entry/claim-client.spec.ts
+++ b/tests/entry/claim-client.spec.ts
@@ -16,10 +16,10 @@
 
 type Method = 'prepare' | 'accept';
 
-/** Answers of the holders to one attempt after the other; the last stands for all that follow. */
+/** The holders' answers, one function per attempt; the last one applies to all later attempts. */
 type Script = readonly ((holder: string) => ClaimReply | undefined)[];
 
-/** Links to holders that agree to every claim, and answer its writing as the script says. */
+/** Links to holders that agree to every prepare and answer each accept as the script defines. */
 const makeLinks = (script: Script): LinkTable<ControlClient> => {
   const stub = { prepareClaim: { bind: () => 'prepare' }, acceptClaim: { bind: () => 'accept' } };
   const counts = new Map<string, number>();
@@ -46,19 +46,19 @@
 const makeOperation = (): Operation => new Operation({ timeoutMs: 60_000 });
 
 describe('the writing of a claim', () => {
-  // Guards against a request that is refused though its holders are only slow for a moment.
+  // A request must not be refused because its holders are slow for a moment.
   it('should be tried again where holders do not answer in time', async () => {
     await expect(writeClaim([() => undefined, () => AGREED], makeOperation()))
       .resolves.toBeUndefined();
   });
 
-  // Guards against a dispatch on the strength of a claim that another entry took meanwhile.
+  // A request must not be dispatched under a claim that another entry has taken over.
   it('should fail where another entry took the claim over before it was tried again', async () => {
     await expect(writeClaim([() => undefined, () => OUTBID], makeOperation()))
       .rejects.toMatchObject({ code: 'superseded' });
   });
 
-  // Guards against attempts without end, and for a caller that has gone.
+  // Attempts must not go on for ever, nor after the caller disconnected.
   it('should be given up after some attempts, or once its operation is over', async () => {
     await expect(writeClaim([() => undefined], makeOperation()))
       .rejects.toMatchObject({ code: 'claimUnavailable' });
--- a/tests/entry/leaving-announcements.spec.ts
+++ b/tests/entry/leaving-announcements.spec.ts
@@ -25,17 +25,17 @@
   id, pool: POOL, kind: 'model', address: `${id}:1`, zone: 'az-1', hardware: 'fast', models: ['guide'], slots: 40, state, incarnation: '1',
 });
 
-/** An entry's scheduler; nothing reaches the entries that are cut off. */
+/** An entry reduced to its scheduler and its configuration. */
 interface FakeEntry {
   readonly scheduler: Scheduler;
   readonly configuration: Configuration;
 }
 
-describe('entries that hear of a backend server that leaves', () => {
+describe('announcements of a backend server that leaves', () => {
   let entries: Map<string, FakeEntry>;
   let unreachableEntries: Set<string>;
   let asked: number;
-  /** The view that control answers with; of number 0 it changes nothing. */
+  /** The view that control answers with; view number 0 changes nothing. */
   let controlView: { viewNumber: number; members: readonly string[] };
 
   const makeLink = (id: string) => ({
@@ -95,7 +95,7 @@
     return [...new Set(replies.filter(({ code }) => code === 0).map(({ workerId }) => workerId))];
   };
 
-  /** The owner of the pool among all, and the owner without it. */
+  /** The owner among the other two entries, the remaining entry, and the owner among all three. */
   const findOwners = (): [string, string, string] => {
     const all = ['e1', 'e2', 'e3'];
     const last = findOwner(all.map(makeMember), POOL)?.id ?? '';
@@ -113,11 +113,11 @@
   });
 
   /*
-   * An entry joins and is to own the pool. Before it was a member it heard that g1 is ready; the
-   * members heard that g1 leaves. The entry took the pool over with what it had heard itself, and
-   * sent up to four requests to g1 until a member told it 70 ms later.
+   * An entry joins and becomes the owner of the pool. Before it was a member it received that g1 is
+   * ready, while the members received that g1 is leaving. If it started with its own announcement,
+   * it would send requests to g1 until a member forwards the later one.
    */
-  it('should not take over with what an entry heard before it was a member', async () => {
+  it('should not use announcements that an entry received before it was a member', async () => {
     const [owner, other, joining] = findOwners();
     [owner, other, joining].forEach((id) => setView(id, 1, [owner, other]));
     await announce(joining, 'g1', 'ready');
@@ -134,10 +134,11 @@
   });
 
   /*
-   * A server tells one entry that it is ready and the next one that it leaves. The owner of the
-   * pool dies, and the entry that only heard "ready" owns it now: it must know of the leaving.
+   * A server announces to one entry that it is ready and to the next one that it is leaving. The
+   * owner of the pool dies, and the new owner is the entry that received only "ready" directly. It
+   * must have the "leaving" as well.
    */
-  it('should tell every member, so that whoever owns the pool next knows', async () => {
+  it('should forward a leaving server to every member, for the next owner of the pool', async () => {
     const [next, other, owner] = findOwners();
     [owner, other, next].forEach((id) => setView(id, 1, [owner, other, next]));
     await announce(next, 'g1', 'ready');
@@ -149,10 +150,10 @@
   });
 
   /*
-   * The entry that is told knows an older view, and takes an entry for the owner that is none any
-   * more. That one hands the word on to the owner that it knows.
+   * The entry that receives the announcement has an older view and forwards it to a former owner.
+   * The former owner must forward it to the owner in its own view.
    */
-  it('should hand the word on to the owner of a newer view', async () => {
+  it('should forward an announcement to the owner of a newer view', async () => {
     const [owner, other, joining] = findOwners();
     setView(other, 1, [owner, other]);
     [owner, joining].forEach((id) => setView(id, 2, [owner, other, joining]));
@@ -163,11 +164,11 @@
   });
 
   /*
-   * An entry has joined and owns the pool; it is a member and hears that g1 is ready. The entry
-   * that hears next that g1 leaves, and those it tells, do not know the new member yet: the new
-   * owner sent three requests to g1 until the next heartbeat of the others.
+   * An entry has joined, owns the pool, and receives that g1 is ready. The entry that then receives
+   * that g1 is leaving does not have the new member in its view yet. Without a refreshed view the
+   * new owner would send requests to g1 until the next heartbeat of the others.
    */
-  it('should tell an entry that joined since the last heartbeat', async () => {
+  it('should forward a leaving server to an entry that joined since the last heartbeat', async () => {
     const [owner, other, joining] = findOwners();
     [owner, other].forEach((id) => setView(id, 1, [owner, other]));
     controlView = { viewNumber: 2, members: [owner, other, joining] };
@@ -179,10 +180,10 @@
   });
 
   /*
-   * "Ready" and "leaving" of one server go to two entries, and "ready" comes last. The entry that
-   * kept it would give it to the next owner.
+   * "Ready" and "leaving" of one server go to two entries, and "ready" arrives last although it is
+   * older. An entry that caches it would use it as the next owner.
    */
-  it('should not keep a "ready" that a later "leaving" has overtaken', async () => {
+  it('should not cache a "ready" that arrives after a later "leaving"', async () => {
     const [next, other, owner] = findOwners();
     [owner, other, next].forEach((id) => setView(id, 1, [owner, other, next]));
     await announce(other, 'g1', 'leaving');
@@ -194,9 +195,9 @@
   });
 });
 
-describe('what an entry keeps of announcements', () => {
-  // A server says that it leaves, is ready after all, and leaves again: all must hear it again.
-  it('should take it for news when a server leaves once more', () => {
+describe('AnnouncementCache', () => {
+  // The second "leaving" must be forwarded to all members again.
+  it('should report a server as newly leaving when it leaves again after it was ready', () => {
     const cache = new AnnouncementCache();
     expect(cache.store(makeAnnouncement('g1', 'leaving'), 0)).toBe(true);
     expect(cache.store(makeAnnouncement('g1', 'leaving'), 1_000)).toBe(false);
--- a/tests/entry/pool-owner.spec.ts
+++ b/tests/entry/pool-owner.spec.ts
@@ -11,7 +11,7 @@
   requestId, askNumber, tier: 'door', account: 'a', target: 'guide', entryId: 'e1', promptTokens: 100, maxTokens: 20, deadlineMs: 5_000,
 });
 
-/** What a question has been answered; undefined while it waits. */
+/** Holds the reply to an ask; undefined while it waits. */
 const watchReply = (asked: Promise<AskReply>): { reply: AskReply | undefined } => {
   const seen: { reply: AskReply | undefined } = { reply: undefined };
   asked.then((reply) => {
@@ -34,9 +34,9 @@
   });
 
   /*
-   * A door code with a key is never answered. The owner granted a slot, but the connection that
-   * carried the reply was closed for a missed ping on a busy machine. The entry asks again; the
-   * owner takes the request for one that runs, and answers nothing until the caller gives up.
+   * The owner granted a slot, but the connection was closed before the reply arrived, for example
+   * because of a missed ping on a busy machine. The entry asks again. If the owner treated the
+   * request as running already, it would not answer before the caller's timeout.
    */
   it('should grant a request again whose grant was lost on the way', async () => {
     const lost = watchReply(owner.ask(makeAsk('r1', 1)));
@@ -49,9 +49,9 @@
   });
 
   /*
-   * The same connection is closed while the request waits. The entry asks again over a fresh one,
-   * and only then does the owner hear that the first call is cancelled: it dropped the request, and
-   * the second question was never answered.
+   * The connection is closed while the request waits. The entry asks again over a new one, and the
+   * owner receives the cancellation of the first call only afterwards. If that dropped the request,
+   * the second ask would never be answered.
    */
   it('should keep a request that was asked for again when the earlier call is cancelled late', async () => {
     await owner.ask(makeAsk('holder', 1));
@@ -60,7 +60,7 @@
     const second = watchReply(owner.ask(makeAsk('r1', 3)));
     owner.drop(cancelled);
     await settle();
-    // Nobody reads the first answer, but nothing waits for ever.
+    // The first ask is resolved as well, although its reply is not used.
     expect(first.reply?.code).toBe(resultCodes.ownerMoved.number);
     expect(second.reply).toBeUndefined();
     owner.report(ReportRequest.fromPartial({
@@ -71,8 +71,8 @@
   });
 
   /*
-   * A dispatch that could not be sent is reported over a call that is slow, and its entry asks for
-   * another slot meanwhile. The report must not end the slot that was granted since.
+   * The report of a dispatch that could not be sent arrives late, after its entry has asked for
+   * another slot. The report must not release the slot that was granted since.
    */
   it('should not end a newer grant by a report of the one before', async () => {
     await owner.ask(makeAsk('r1', 1));
--- a/tests/entry/slot-client.spec.ts
+++ b/tests/entry/slot-client.spec.ts
@@ -21,7 +21,7 @@
   return new PoolOwner(tables, { now: () => 0 }, () => undefined);
 };
 
-/** Brings questions and reports to an owner; each reply is lost, as its call is cancelled first. */
+/** Passes asks and reports to an owner. Each reply is lost, because its call is cancelled first. */
 const makeCancellingScheduler = (owner: PoolOwner): Scheduler => {
   const askNumber = 1;
   return {
@@ -35,8 +35,8 @@
 };
 
 describe('a slot that an entry asks for', () => {
-  // Guards slots against a grant that crosses the cancellation of its question, and is never used.
-  it('should be free again where its grant crosses the end of the question', async () => {
+  // A grant that crosses the cancellation of its ask is never used, so its slot must be released.
+  it('should be free again when its grant crosses the cancellation of the ask', async () => {
     const owner = makeOwner();
     const slots = new SlotClient('e1', 'a', makeCancellingScheduler(owner), new ActiveTable(), new HopTracer('entry/e1', ''), () => 1);
     const operation = new Operation({ timeoutMs: 5_000 });
--- a/tests/site/connection-failures.spec.ts
+++ b/tests/site/connection-failures.spec.ts
@@ -32,10 +32,10 @@
   };
 
   /*
-   * A caller's answer stops in the middle and nothing more ever comes: the connection from the
-   * entry to the engine went silent. A new connection works; the answer must go on over it, whole.
+   * The connection from the entry to the engine stops delivering data in the middle of an answer
+   * without being closed. A new connection works, so the answer must be completed over it.
    */
-  it('should take an answer up again when its connection went silent', async () => {
+  it('should resume an answer when its connection stops delivering data', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
     const asked = site.ask(entry, 'long', { tokens: 100, key: 'k' });
     await waitUntil('it has begun', () => engine.dispatched.length === 1);
@@ -45,8 +45,8 @@
   });
 
   /*
-   * The engine closes the connection again and again in mid-answer. The caller must read each
-   * event once, in order.
+   * The engine closes the connection repeatedly during an answer. The caller must receive each
+   * event once and in order.
    */
   it('should deliver every event once when the engine drops its connections', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
@@ -59,8 +59,8 @@
   });
 
   /*
-   * An engine dies with a request that may not run twice. The caller must not read "not run", as
-   * nobody can know, and no other engine may get it.
+   * An engine dies while it runs a request that is not idempotent. Its outcome is unknown, so the
+   * answer must not be "not run", and no other engine may receive the request.
    */
   it('should not claim that a request did not run when its engine died', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
@@ -80,9 +80,10 @@
   });
 
   /*
-   * An engine announces itself every 200 ms and nothing listens at its address. The other one has
-   * one slot and takes a second for each request. No request was sent, so each waits for the other
-   * engine; a caller read "not run" when each announcement cost the waiting requests an attempt.
+   * An engine announces itself every 200 ms, but nothing listens at its address. The other engine
+   * has one slot and takes a second per request. No request was sent, so each must wait for the
+   * other engine. If each announcement cost the waiting requests an attempt, they would fail with
+   * "not run".
    */
   it('should try another engine when nothing could be sent', async () => {
     const engine = await addEngineBehindProxy({ slots: 50 });
@@ -99,10 +100,10 @@
   });
 
   /*
-   * The connection of an entry to control goes silent for good, while a manifest is accepted. The
-   * entry must dial anew, keep its lease, and have the manifest in force within seconds.
+   * The connection of an entry to control stops delivering data while a manifest is accepted. The
+   * entry must reconnect, keep its lease, and have the manifest in force within seconds.
    */
-  it('should reach control over a fresh connection when its own went silent', async () => {
+  it('should reconnect to control when its connection stops delivering data', async () => {
     const [control] = site.controls as [SiteProcess];
     proxy = new SilentProxy(control.address);
     await proxy.start();
@@ -115,10 +116,10 @@
   });
 
   /*
-   * An entry VM is cut off from control, but not from the other entries. It must go on serving on
-   * their fresher proof, and take over a new manifest from them.
+   * An entry VM cannot reach control, but can reach the other entries. It must continue to serve
+   * with their proofs, and receive a new manifest from them.
    */
-  it('should live on the proof of its peers when it is cut off from control', async () => {
+  it('should serve with the proof of its peers when it cannot reach control', async () => {
     const [control] = site.controls as [SiteProcess];
     proxy = new SilentProxy(control.address);
     await proxy.start();
@@ -127,7 +128,7 @@
     proxy.setCut(true);
     await site.submit(makeManifest(2));
     await site.waitForVersion(2);
-    await waitUntil('control has not heard of it for long', async () => {
+    await waitUntil('control has received no heartbeat for 4 s', async () => {
       const { members } = await site.readControl();
       return members.every(({ member, silentMs }) => member?.id !== 'e9' || silentMs > 4_000);
     });
--- a/tests/site/control-failures.spec.ts
+++ b/tests/site/control-failures.spec.ts
@@ -29,7 +29,7 @@
 
   /*
    * The leader dies right after a pipeline submitted version 2, and the answer is lost. The
-   * pipeline sends it again; it must read the same acceptance, and version 2 must stay in force.
+   * pipeline sends it again. It must receive the same acceptance, and version 2 must stay accepted.
    */
   it('should give the same acceptance to a resend after the leader died', async () => {
     const accepted = await site.submit(makeManifest(2));
@@ -45,8 +45,8 @@
   });
 
   /*
-   * Two operators submit version 2 with other contents at the same moment, through two replicas.
-   * Both read that theirs was accepted.
+   * Several operators submit version 2 with different contents at the same moment, through
+   * different replicas. Only one may receive an acceptance.
    */
   it('should accept exactly one of two manifests that race for a version', async () => {
     const variants = [7_000, 8_000, 9_000].map((totalMs) => makeManifest(2, {
@@ -65,9 +65,9 @@
   });
 
   /*
-   * Two of three control VMs are lost. Entries cannot tell whether a newer manifest is in force
-   * and go on with the old one for hours. They must refuse, truthfully, and serve again by
-   * themselves.
+   * Two of three control VMs are lost. Entries cannot determine whether a newer manifest is in
+   * force, so they must not continue with the old one. They must refuse new requests as not run,
+   * and serve again without intervention once control is back.
    */
   it('should refuse new work as not run without a control quorum, and come back by itself', async () => {
     const engine = await site.addEngine('g1');
@@ -87,8 +87,8 @@
   });
 
   /*
-   * An entry VM is paused while a manifest takes a model away, and wakes a minute later. It must
-   * not serve a single request on the manifest that it remembers.
+   * An entry VM is paused while a manifest removes a model, and resumes after its lease has
+   * expired. It must not serve any request with its outdated manifest.
    */
   it('should not serve on an old manifest after a pause', async () => {
     const engine = await site.addEngine('g1');
@@ -110,8 +110,8 @@
   });
 
   /*
-   * A control VM lost its disk and was started again with an empty folder. It votes as if it had
-   * never voted, and with one more that lags an accepted manifest or a claim is forgotten.
+   * A control VM lost its disk and restarts with an empty folder. If it voted again, it and one
+   * replica that is behind could form a majority without an accepted manifest or a claim.
    */
   it('should not let a replica vote that lost its disk', async () => {
     const lost = site.controls.find(({ id }) => id === 'c2') as SiteProcess;
@@ -123,8 +123,8 @@
   });
 
   /*
-   * A control VM is replaced, and right after the repair a second one is lost. What was accepted
-   * and what was claimed must still be known, to a majority that includes the newcomer.
+   * A control VM is replaced, and right after the replacement a second one is lost. A majority that
+   * includes the new replica must still have the accepted manifests and the claims.
    */
   it('should lose neither manifests nor claims when a second VM is lost right after a repair', async () => {
     const engine = await site.addEngine('g1');
@@ -152,10 +152,10 @@
   });
 
   /*
-   * All VMs lose power at once. After the restart the accepted manifest and the claims are there,
-   * and a room that was issued is not issued again.
+   * All VMs lose power at once. After the restart the accepted manifest and the claims must still
+   * exist, and a request that ran must not run again.
    */
-  it('should know what was accepted and claimed after all processes were killed', async () => {
+  it('should keep accepted manifests and claims after all processes were killed', async () => {
     const engine = await site.addEngine('g1');
     const [entry] = site.entries as [SiteProcess];
     const before = await site.ask(entry, 'issue a room', { key: 'room-1' });
--- a/tests/site/entry-failures.spec.ts
+++ b/tests/site/entry-failures.spec.ts
@@ -21,8 +21,8 @@
     site.engines.reduce((sum, { dispatched }) => sum + dispatched.length, 0));
 
   /*
-   * A kiosk waits for a room number and its entry VM dies in mid-answer. The kiosk sends the same
-   * key to its next address. It must read the whole answer, and no second room may be issued.
+   * An entry VM dies in the middle of an answer. The caller sends the same key to its next address.
+   * It must receive the whole answer, and the request must not run a second time.
    */
   it('should give the whole answer through another entry after one died, and run it once', async () => {
     await site.addEngine('g1', { decodeMs: 10 });
@@ -42,8 +42,9 @@
   });
 
   /*
-   * An entry VM is paused with a request that waits for a slot. The caller sends it again through
-   * another entry, which runs it. The first one wakes, gets its slot, and issues a second room.
+   * An entry VM is paused while a request waits for a slot. The caller sends it again through
+   * another entry, which runs it. When the first entry resumes and is granted its slot, it must not
+   * dispatch the request again.
    */
   it('should send nothing when it wakes after its claim was taken over', async () => {
     const engine = await site.addEngine('g1', { slots: 1, decodeMs: 10 });
@@ -58,7 +59,7 @@
       const all = await Promise.all(site.entries.map((entry) => site.readStatus(entry)));
       return all.flatMap(({ owned }) => owned).some(({ waiting }) => waiting === 1);
     });
-    // An answer that comes first tells why it never waited.
+    // If the answer arrives first, its body shows why the request never waited.
     expect(await Promise.race([waits, paused.then((answer) => answer?.body ?? 'no answer')]))
       .toBeUndefined();
     site.freeze(first, true);
@@ -72,8 +73,8 @@
   });
 
   /*
-   * A kiosk sends the same key to two entry VMs in the same moment, as its first try seemed lost.
-   * Two rooms are issued, or one of the answers is another's.
+   * A caller sends the same key to several entry VMs at the same moment, because its first attempt
+   * seemed lost. The request must run once, and no caller may receive the answer of another key.
    */
   it('should run a key once when it comes to all entries at once', async () => {
     await site.addEngine('g1');
@@ -92,11 +93,11 @@
   });
 
   /*
-   * The kiosk sends again through another entry VM while the first dispatch is still on its way to
-   * the engine, which therefore knows nothing of it. The resend barred the stream there, and both
-   * tries read an error though nothing had failed.
+   * The caller sends the request again through another entry VM while the first dispatch has not
+   * arrived at the engine yet. If the resend blocked the stream there, both attempts would fail
+   * without any fault.
    */
-  it('should not take a dispatch that is still on its way for one that was lost', async () => {
+  it('should not treat a dispatch that is still in flight as lost', async () => {
     const engine = await site.addEngine('g1', { arriveMs: 700 });
     const asked = site.ask(first, 'late', { key: 'k', tokens: 12 });
     await waitUntil('it is on its way', () => engine.arriving.size === 1);
@@ -106,8 +107,8 @@
   });
 
   /*
-   * The owner of the pool dies under load. Requests that wait at other entries hang until their
-   * callers give up, or are refused though slots are free.
+   * The owner of the pool dies under load. Requests that wait at other entries must neither hang
+   * until their callers time out, nor be refused while slots are free.
    */
   it('should go on with a new owner when the owner of a pool dies', async () => {
     await site.addEngine('g1', { slots: 4 });
@@ -128,10 +129,10 @@
   });
 
   /*
-   * An entry VM is shut down for an update in the middle of the day, and callers with open answers
-   * are cut off; others still send to it, as they keep the locate answer for a while.
+   * An entry VM is shut down for an update while answers are open, and while other callers still
+   * use it because of a cached locate answer. None of these answers may be aborted.
    */
-  it('should cut nobody off when it is shut down', async () => {
+  it('should abort no answer when it is shut down', async () => {
     await site.addEngine('g1', { decodeMs: 10 });
     const running = Array.from(
       { length: 4 },
@@ -152,8 +153,8 @@
   });
 
   /*
-   * An engine says that it leaves. Whatever entry it told, all must stop sending there, and what it
-   * runs must end whole.
+   * An engine announces to one entry that it is leaving. All entries must stop sending to it, and
+   * the requests that it runs must be completed.
    */
   it('should send nothing new to a backend server that leaves', async () => {
     const leaving = await site.addEngine('g1', { decodeMs: 10 });
--- a/tests/site/orders.spec.ts
+++ b/tests/site/orders.spec.ts
@@ -33,10 +33,10 @@
       engines.every((engine) => readCarried(engine) === version))));
 
   /*
-   * A pipeline brings a new model version while guests read their answers. An answer breaks off, or
-   * nobody carries the model for a while and new guests are refused.
+   * A pipeline rolls out a new model version while requests are running. No answer may be aborted,
+   * and at least one engine must serve the model at any time, so that no request is refused.
    */
-  it('should bring a new version to all engines and cut no answer', async () => {
+  it('should roll out a new version to all engines and abort no answer', async () => {
     const engines = await addEngines({});
     await site.submit(makeVersion(2));
     let isRolling = true;
@@ -60,8 +60,8 @@
   });
 
   /*
-   * The entry VM that orders the engines dies in the middle of a roll-out. The other engine stays
-   * on the old version for good, or the new owner orders against the one before.
+   * The entry VM that sends the orders dies in the middle of a roll-out. The other engine must not
+   * stay on the old version, and the new owner must not send conflicting orders.
    */
   it('should go on with the roll-out when the owner of the pool dies', async () => {
     const engines = await addEngines({ ignoresFencing: true });
@@ -75,8 +75,8 @@
   });
 
   /*
-   * An engine starts anew and has lost what it was ordered to load. Its pool says that it carries
-   * the version, callers find that it does not.
+   * An engine restarts and has lost what it was ordered to load. Its pool must not continue to
+   * treat the version as loaded there.
    */
   it('should order an engine again that has lost what it loaded', async () => {
     const engines = await addEngines({});
--- a/tests/site/service-failures.spec.ts
+++ b/tests/site/service-failures.spec.ts
@@ -68,8 +68,8 @@
   });
 
   /*
-   * A kiosk issues a room, the answer is lost, and it sends the same key through another entry VM.
-   * It must read the same room; two rooms must not be issued.
+   * The answer to a call is lost, and the caller sends the same key through another entry VM. It
+   * must receive the same answer, and the service must be called once.
    */
   it('should give the same answer to a resend and call the service once', async () => {
     const service = await addService('s1');
@@ -80,8 +80,8 @@
   });
 
   /*
-   * The entry VM dies while the room is being issued. Nobody can tell the kiosk how it ended, so
-   * the resend must say "unknown", and the service must not be called again.
+   * The entry VM dies while the service processes the call. The outcome is unknown, so the resend
+   * must be answered with "outcomeUnknown", and the service must not be called again.
    */
   it('should call nothing twice when the entry dies in mid-call', async () => {
     const service = await addService('s1');
@@ -96,8 +96,8 @@
   });
 
   /*
-   * The service dies with the call in hand. The kiosk must not read "not run", and no other one may
-   * get the call.
+   * The service dies while it processes the call. The caller must not receive "not run", and no
+   * other service may receive the call.
    */
   it('should not claim that a call did not run when its service died', async () => {
     const service = await addService('s1');
@@ -112,8 +112,8 @@
   });
 
   /*
-   * One service announces itself and nothing listens at its address. No call was sent, so each goes
-   * to the other one; a kiosk read "no backend" though one was there.
+   * One service announces itself, but nothing listens at its address. No call was sent, so each
+   * must go to the other service instead of failing with "no backend".
    */
   it('should call another service when nothing could be sent', async () => {
     const gone = await addService('s1');
