--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -137,7 +137,10 @@
       ...call, id: this.makeId(), known, manifest,
     });
     const sink: AnswerSink = { deliver: async () => undefined, end: async () => undefined };
-    const caller: CallerConnection = { isDisconnected: call.isDisconnected, onDisconnect: () => undefined };
+    const caller: CallerConnection = {
+      isDisconnected: call.isDisconnected,
+      onDisconnect: () => undefined,
+    };
     const dispatch = {
       method: call.method, headers: pickForwardedHeaders(call.headers), body: call.body,
     };
--- a/src/entry/choosing/announcementCache.ts
+++ b/src/entry/choosing/announcementCache.ts
@@ -13,7 +13,9 @@
   readonly at: number;
 }
 
-const formatIncarnationKey = ({ id, incarnation }: Announcement): string => JSON.stringify([id, incarnation]);
+const formatIncarnationKey = (
+  { id, incarnation }: Announcement,
+): string => JSON.stringify([id, incarnation]);
 
 /**
  * Caches the recent announcements of backend servers, for an entry that becomes the owner of a
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -69,7 +69,8 @@
       ...parts,
       hasSharedOwner: this.policy.name === 'owner',
       findOwner: (pool) => this.findOwnerMember(pool),
-      applyAnnouncement: (announcement) => this.findOrTakeOver(announcement.pool)?.announce(announcement),
+      applyAnnouncement: (announcement) => this.findOrTakeOver(announcement.pool)
+        ?.announce(announcement),
     });
     parts.configuration.addListener({
       onManifestChange: () => this.updateOwners(),
--- a/src/entry/inForce/heartbeat.ts
+++ b/src/entry/inForce/heartbeat.ts
@@ -59,7 +59,8 @@
 
   /** Tries the leader first, then another replica, then peers. */
   private async renewLease(): Promise<boolean> {
-    const renewed = await this.renewFromControl(this.leaderAddress) || await this.renewFromNextReplica();
+    const renewed = await this.renewFromControl(this.leaderAddress)
+      || await this.renewFromNextReplica();
     this.updateTimeout(renewed);
     if (renewed) return true;
     if (this.parts.configuration.leaseMs > LOW_LEASE_MS) return false;
@@ -114,7 +115,9 @@
     const address = controlAddresses[this.rotation % controlAddresses.length] ?? '';
     const previousLeader = this.leaderAddress;
     if (await this.renewFromControl(address)) return true;
-    return this.leaderAddress === previousLeader ? false : this.renewFromControl(this.leaderAddress);
+    return this.leaderAddress === previousLeader
+      ? false
+      : this.renewFromControl(this.leaderAddress);
   }
 
   /*
@@ -127,8 +130,11 @@
     const ownId = readMember().id;
     const others = configuration.members.filter(({ id }) => id !== ownId);
     const start = this.rotation % Math.max(1, others.length);
-    const selectedPeers = [...others.slice(start), ...others.slice(0, start)].slice(0, MAX_PEERS_PER_RENEWAL);
-    const results = await Promise.all(selectedPeers.map(({ peerAddress }) => this.renewFromPeer(peerAddress)));
+    const selectedPeers = [...others.slice(start), ...others.slice(0, start)]
+      .slice(0, MAX_PEERS_PER_RENEWAL);
+    const results = await Promise.all(
+      selectedPeers.map(({ peerAddress }) => this.renewFromPeer(peerAddress)),
+    );
     return results.includes(true);
   }
 
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -146,7 +146,8 @@
         body: buildStreamBody(job.request),
         headers,
         signal: job.relayOperation.signal,
-      }, ENGINE_IDLE_TIMEOUT_MS).catch((error: unknown) => handleDispatchError(error, granted.dispatch));
+      }, ENGINE_IDLE_TIMEOUT_MS)
+        .catch((error: unknown) => handleDispatchError(error, granted.dispatch));
       await this.streams.run(job, granted.dispatch, events, headers);
     } catch (error) {
       await this.handleFailure(job, granted, error);
@@ -155,7 +156,11 @@
     }
   }
 
-  private async handleFailure(job: RequestJob, granted: GrantedDispatch, error: unknown): Promise<void> {
+  private async handleFailure(
+    job: RequestJob,
+    granted: GrantedDispatch,
+    error: unknown,
+  ): Promise<void> {
     const { slots, metrics } = this.parts;
     if (error instanceof EngineFailure && error.reach === 'notSent') {
       slots.release(job.request, 'unreachable');
--- a/src/entry/sending/requestClaim.ts
+++ b/src/entry/sending/requestClaim.ts
@@ -53,7 +53,9 @@
 
   /** The accepted value of an earlier attempt, which binds this one. */
   get bound(): ClaimValue | undefined {
-    return this.preparedClaim && !canDispatch(this.preparedClaim) ? this.preparedClaim.bound : undefined;
+    return this.preparedClaim && !canDispatch(this.preparedClaim)
+      ? this.preparedClaim.bound
+      : undefined;
   }
 
   /** Acquires the claim; refuses a key that was used with another body. */
--- a/src/entry/sending/serviceClient.ts
+++ b/src/entry/sending/serviceClient.ts
@@ -32,7 +32,8 @@
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> => Object.fromEntries(
   Object.entries(headers)
-    .filter(([name, value]) => value !== undefined && !NOT_FORWARDED_HEADERS.includes(name.toLowerCase()))
+    .filter(([name, value]) => value !== undefined
+      && !NOT_FORWARDED_HEADERS.includes(name.toLowerCase()))
     .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : value ?? '']),
 );
 
--- a/src/entry/sending/streamRunner.ts
+++ b/src/entry/sending/streamRunner.ts
@@ -97,6 +97,7 @@
     const elapsed = this.parts.clock.now() - job.startedAt;
     const toFirst = elapsed - totalMs + firstTokenMs;
     const inTime = tier !== undefined && elapsed <= tier.totalMs && toFirst <= tier.firstTokenMs;
-    if (inTime && !job.caller.isDisconnected()) this.parts.metrics.goodput.inc({ tier: job.request.tier });
+    if (inTime
+      && !job.caller.isDisconnected()) this.parts.metrics.goodput.inc({ tier: job.request.tier });
   }
 }
--- a/tests/entry/leaving-announcements.spec.ts
+++ b/tests/entry/leaving-announcements.spec.ts
@@ -41,7 +41,8 @@
   const makeLink = (id: string) => ({
     call: (pick: unknown, request: Announcement): Promise<object> => {
       if (unreachableEntries.has(id) || !('state' in request)) return Promise.reject(new Error('cut off'));
-      return Promise.resolve(entries.get(id)?.scheduler.handleForwardedAnnouncement(request)).then(() => ({}));
+      return Promise.resolve(entries.get(id)?.scheduler.handleForwardedAnnouncement(request))
+        .then(() => ({}));
     },
   });
 
