--- a/tests/entry/claim-client.spec.ts
+++ b/tests/entry/claim-client.spec.ts
@@ -47,26 +47,26 @@
 
 describe('the writing of a claim', () => {
   // A request must not be refused because its holders are slow for a moment.
-  it('should be tried again where holders do not answer in time', async () => {
+  it('should be tried again when holders do not answer in time', async () => {
     await expect(writeClaim([() => undefined, () => AGREED], makeOperation()))
       .resolves.toBeUndefined();
   });
 
   // A request must not be dispatched under a claim that another entry has taken over.
-  it('should fail where another entry took the claim over before it was tried again', async () => {
+  it('should fail when another entry took over the claim before it was tried again', async () => {
     await expect(writeClaim([() => undefined, () => OUTBID], makeOperation()))
       .rejects.toMatchObject({ code: 'superseded' });
   });
 
   // Attempts must not go on for ever, nor after the caller disconnected.
-  it('should be given up after some attempts, or once its operation is over', async () => {
+  it('should stop after a limited number of attempts, or once its operation is cancelled', async () => {
     await expect(writeClaim([() => undefined], makeOperation()))
       .rejects.toMatchObject({ code: 'claimUnavailable' });
-    const gone = makeOperation();
+    const cancelled = makeOperation();
     const cancel = (): undefined => {
-      gone.cancel('caller gone');
+      cancelled.cancel('caller gone');
     };
-    await expect(writeClaim([cancel, () => AGREED], gone))
+    await expect(writeClaim([cancel, () => AGREED], cancelled))
       .rejects.toMatchObject({ code: 'claimUnavailable' });
   });
 });
--- a/tests/entry/pool-owner.spec.ts
+++ b/tests/entry/pool-owner.spec.ts
@@ -38,7 +38,7 @@
    * because of a missed ping on a busy machine. The entry asks again. If the owner treated the
    * request as running already, it would not answer before the caller's timeout.
    */
-  it('should grant a request again whose grant was lost on the way', async () => {
+  it('should grant a request again when the first grant was lost', async () => {
     const lost = watchReply(owner.ask(makeAsk('r1', 1)));
     await settle();
     expect(lost.reply?.workerId).toBe('w1');
@@ -74,7 +74,7 @@
    * The report of a dispatch that could not be sent arrives late, after its entry has asked for
    * another slot. The report must not release the slot that was granted since.
    */
-  it('should not end a newer grant by a report of the one before', async () => {
+  it('should not end a newer grant because of a report on the earlier one', async () => {
     await owner.ask(makeAsk('r1', 1));
     await owner.ask(makeAsk('r1', 2));
     owner.report(ReportRequest.fromPartial({
@@ -87,7 +87,7 @@
     expect(owner.tables.running.size).toBe(0);
   });
 
-  it('should leave a newer question alone when an older one comes late', async () => {
+  it('should keep a newer ask pending when an older one arrives late', async () => {
     await owner.ask(makeAsk('holder', 1));
     const newer = watchReply(owner.ask(makeAsk('r1', 3)));
     const older = watchReply(owner.ask(makeAsk('r1', 2)));
--- a/tests/entry/slot-client.spec.ts
+++ b/tests/entry/slot-client.spec.ts
@@ -25,8 +25,8 @@
 const makeCancellingScheduler = (owner: PoolOwner): Scheduler => {
   const askNumber = 1;
   return {
-    ask: async (question: object, operation: Operation) => {
-      await owner.ask(AskRequest.fromPartial({ ...question, askNumber }));
+    ask: async (askFields: object, operation: Operation) => {
+      await owner.ask(AskRequest.fromPartial({ ...askFields, askNumber }));
       operation.cancel('an earlier attempt is taken up');
       throw new BeechliftError('callerGone', 'the caller is gone');
     },
--- a/tests/site/caller-errors.spec.ts
+++ b/tests/site/caller-errors.spec.ts
@@ -80,7 +80,7 @@
     expect([answer.status, answer.body.error?.name]).toEqual([422, 'keyReused']);
   });
 
-  it('should refuse an account beyond its concurrency, with the time to come back', async () => {
+  it('should refuse an account beyond its concurrency, with a Retry-After header', async () => {
     const [entry] = site.entries;
     if (!entry) throw new Error('no entry');
     const long = site.ask(entry, 'long', { apiKey: 'narrow', tokens: 200 });
--- a/tests/site/control-failures.spec.ts
+++ b/tests/site/control-failures.spec.ts
@@ -23,7 +23,7 @@
   const findLeader = async (): Promise<SiteProcess> => {
     const { id, role } = await site.readControl();
     const leader = site.controls.find((control) => control.id === id);
-    if (!leader || role !== 'leader') throw new Error('nobody leads');
+    if (!leader || role !== 'leader') throw new Error('control has no leader');
     return leader;
   };
 
@@ -131,8 +131,8 @@
     const [entry] = site.entries as [SiteProcess];
     const before = await site.ask(entry, 'issue a room', { key: 'room-1' });
     await site.submit(makeManifest(2));
-    const gone = site.controls.find(({ id }) => id === 'c2') as SiteProcess;
-    await site.kill(gone);
+    const replaced = site.controls.find(({ id }) => id === 'c2') as SiteProcess;
+    await site.kill(replaced);
     const newcomer = { id: 'c4', address: await findFreeAddress(), zone: 'az-2' };
     await site.addControl(newcomer, true);
     const started = await site.operator.changeReplicas({ removeId: 'c2', add: newcomer }, 20_000);
--- a/tests/site/entry-failures.spec.ts
+++ b/tests/site/entry-failures.spec.ts
@@ -100,7 +100,7 @@
   it('should not treat a dispatch that is still in flight as lost', async () => {
     const engine = await site.addEngine('g1', { arriveMs: 700 });
     const asked = site.ask(first, 'late', { key: 'k', tokens: 12 });
-    await waitUntil('it is on its way', () => engine.arriving.size === 1);
+    await waitUntil('the dispatch is in flight', () => engine.arriving.size === 1);
     const again = await site.ask(second, 'late', { key: 'k', tokens: 12 });
     expect([(await asked).text, again.text]).toEqual(Array(2).fill(makeExpectedText('late', 12)));
     expect(countDispatched()).toBe(1);
--- a/tests/site/service-failures.spec.ts
+++ b/tests/site/service-failures.spec.ts
@@ -116,12 +116,12 @@
    * must go to the other service instead of failing with "no backend".
    */
   it('should call another service when nothing could be sent', async () => {
-    const gone = await addService('s1');
-    gone.crash();
+    const crashed = await addService('s1');
+    crashed.crash();
     const other = await addService('s2');
     const keys = ['a', 'b', 'c', 'd', 'e', 'f'];
     const answers = await Promise.all(keys.map((key) => askForRoom(first, key)));
     expect(answers.map(({ status }) => status)).toEqual(keys.map(() => 201));
-    expect([gone.calls.length, other.calls.length]).toEqual([0, 6]);
+    expect([crashed.calls.length, other.calls.length]).toEqual([0, 6]);
   });
 });
