--- a/src/core/quarantine/crashEvaluation.ts
+++ b/src/core/quarantine/crashEvaluation.ts
@@ -1,64 +1,64 @@
-/** What the leader concludes from the ends of servers, and when it takes that back. */
+/** Evaluates recorded crashes: which requests to watch or refuse, and when to withdraw that. */
 import {
-  WEIGHT_EPSILON, findStage, CRASH_GROUP_WINDOW_MS, REFUSAL_THRESHOLD, clearSuspect, WATCH_THRESHOLD,
-  computeGroupWeight, computeSuspectWeight,
+  clearSuspect, computeGroupWeight, computeSuspectWeight, CRASH_GROUP_WINDOW_MS, findStage,
+  REFUSAL_THRESHOLD, WATCH_THRESHOLD, WEIGHT_EPSILON,
 } from './crashTable';
 import type {
   CrashTable, CrashGroup, StageChange, Suspect,
 } from './crashTable';
 
-/** Announcements that were on their way when a server ended mostly arrive within this, in ms. */
+/** Announcements sent before a crash mostly arrive within this time, in milliseconds. */
 const IN_FLIGHT_GRACE_MS = 500;
-/** Later announcements by which a server is known to live: one or two may have been held up. */
+/** Later announcements that prove a server is alive: one or two may have been delayed. */
 const MIN_LIVENESS_ANNOUNCEMENTS = 3;
 
-/** How long a request is refused at first, and at most, in milliseconds. */
+/** First and longest refusal of a request, in milliseconds. */
 const INITIAL_REFUSAL_MS = 60_000;
 const MAX_REFUSAL_MS = 3_600_000;
-/** How many times as long it is refused when it has ended another server after that. */
+/** Factor by which each further refusal is longer than the previous one. */
 const REFUSAL_FACTOR = 4;
 
-/** How long a suspect is remembered after the last end, or the end of its refusal. */
+/** How long a suspect is kept after its last crash or the end of its refusal, in milliseconds. */
 const SUSPECT_RETENTION_MS = 600_000;
 
-/** Takes back what an end said against a request, as its server lives. */
+/** Removes a crash from a suspect because the server turned out to be alive. */
 const removeCrash = (
   table: CrashTable,
   suspect: Suspect,
   server: string,
   now: number,
 ): StageChange[] => {
-  const { fingerprint, crashGroups: moments, servers } = suspect;
+  const { fingerprint, crashGroups, servers } = suspect;
   if (servers.size === 1) return clearSuspect(table, suspect, now);
-  const stage = findStage(table, fingerprint, now);
+  const oldStage = findStage(table, fingerprint, now);
   servers.delete(server);
-  [...moments]
-    .filter((moment) => computeGroupWeight(moment, fingerprint) === 0)
-    .forEach((moment) => moments.delete(moment));
+  [...crashGroups]
+    .filter((group) => computeGroupWeight(group, fingerprint) === 0)
+    .forEach((group) => crashGroups.delete(group));
   if (computeSuspectWeight(suspect) < REFUSAL_THRESHOLD - WEIGHT_EPSILON) {
     suspect.refusedUntil = Math.min(suspect.refusedUntil, now);
     suspect.refusalThreshold = REFUSAL_THRESHOLD;
   }
-  const left = findStage(table, fingerprint, now);
-  if (left === stage) return [];
+  const newStage = findStage(table, fingerprint, now);
+  if (newStage === oldStage) return [];
   table.revision += 1;
-  return [{ kind: left === 'noted' ? 'cleared' : left, suspect }];
+  return [{ kind: newStage === 'noted' ? 'cleared' : newStage, suspect }];
 };
 
-const countAnnouncement = (moment: CrashGroup, server: string, sequence: number): number => {
-  const before = moment.announcements.get(server) ?? { count: 0, sequence: -1 };
-  if (sequence <= before.sequence) return before.count;
-  moment.announcements.set(server, { count: before.count + 1, sequence });
-  return before.count + 1;
+const countAnnouncement = (group: CrashGroup, server: string, sequence: number): number => {
+  const previous = group.announcements.get(server) ?? { count: 0, sequence: -1 };
+  if (sequence <= previous.sequence) return previous.count;
+  group.announcements.set(server, { count: previous.count + 1, sequence });
+  return previous.count + 1;
 };
 
 /**
- * Notes that a server was heard. One that goes on announcing itself did not end: the connections to
- * it broke off for another reason.
+ * Records an announcement of a server. A server that goes on announcing itself did not crash: its
+ * connections broke for another reason.
  *
- * @param sequence number of the announcement, which grows with each
+ * @param sequence number of the announcement, which increases with each one
  * @example
- * const changes = noteHeard(table, 'w1@0', 17, clock.now());
+ * const changes = recordAnnouncement(table, 'w1@0', 17, clock.now());
  */
 export const recordAnnouncement = (
   table: CrashTable,
@@ -66,41 +66,45 @@
   sequence: number,
   now: number,
 ): StageChange[] => {
-  const moment = table.groupsByServer.get(server);
-  if (!moment || now - moment.at < IN_FLIGHT_GRACE_MS) return [];
-  if (countAnnouncement(moment, server, sequence) < MIN_LIVENESS_ANNOUNCEMENTS) return [];
-  const under = [...moment.servers.get(server) ?? []];
+  const group = table.groupsByServer.get(server);
+  if (!group || now - group.at < IN_FLIGHT_GRACE_MS) return [];
+  if (countAnnouncement(group, server, sequence) < MIN_LIVENESS_ANNOUNCEMENTS) return [];
+  const fingerprints = [...group.servers.get(server) ?? []];
   table.groupsByServer.delete(server);
-  moment.servers.delete(server);
-  return under
+  group.servers.delete(server);
+  return fingerprints
     .flatMap((fingerprint) => table.suspects.get(fingerprint) ?? [])
     .flatMap((suspect) => removeCrash(table, suspect, server, now));
 };
 
 const refuse = (suspect: Suspect, weight: number, now: number): StageChange => {
-  const refusalMs = Math.min(MAX_REFUSAL_MS, INITIAL_REFUSAL_MS * REFUSAL_FACTOR ** suspect.refusals);
+  const refusalMs = Math.min(
+    MAX_REFUSAL_MS,
+    INITIAL_REFUSAL_MS * REFUSAL_FACTOR ** suspect.refusals,
+  );
   suspect.refusals += 1;
   suspect.refusedUntil = now + refusalMs;
   suspect.refusalThreshold = weight + 1;
   return { kind: 'refused', suspect };
 };
 
-/** Copies that run at one moment may share another cause, such as a rack that fails. */
-const hasSeveralGroups = ({ crashGroups: moments, inheritedWeight: carried }: Suspect): boolean => (
-  moments.size + (carried > 0 ? 1 : 0) > 1);
+/** Crashes of one group may share another cause, such as a rack failure, so one is not enough. */
+const hasSeveralGroups = ({ crashGroups, inheritedWeight }: Suspect): boolean => (
+  crashGroups.size + (inheritedWeight > 0 ? 1 : 0) > 1);
 
 const evaluateSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
   const weight = computeSuspectWeight(suspect);
   if (now < suspect.refusedUntil || weight < WATCH_THRESHOLD - WEIGHT_EPSILON) return [];
   table.revision += 1;
-  const isCertain = weight >= suspect.refusalThreshold - WEIGHT_EPSILON && hasSeveralGroups(suspect);
+  const isCertain = weight >= suspect.refusalThreshold - WEIGHT_EPSILON
+    && hasSeveralGroups(suspect);
   if (isCertain) return [refuse(suspect, weight, now)];
   return [{ kind: 'watched', suspect }];
 };
 
-const settleGroup = (table: CrashTable, moment: CrashGroup, now: number): StageChange[] => {
-  moment.isSettled = true;
-  const fingerprints = new Set([...moment.servers.values()].flatMap((under) => [...under]));
+const settleGroup = (table: CrashTable, group: CrashGroup, now: number): StageChange[] => {
+  group.isSettled = true;
+  const fingerprints = new Set([...group.servers.values()].flatMap((requests) => [...requests]));
   return [...fingerprints].flatMap((fingerprint) => {
     const suspect = table.suspects.get(fingerprint);
     return suspect ? evaluateSuspect(table, suspect, now) : [];
@@ -108,27 +112,27 @@
 };
 
 /**
- * Judges the requests under ends that are no longer news, and returns what changed for them.
+ * Evaluates the requests of crash groups whose time window has passed, and returns their changes.
  *
  * @example
- * const changes = judgeEnds(table, clock.now());
+ * const changes = evaluateCrashes(table, clock.now());
  */
 export const evaluateCrashes = (table: CrashTable, now: number): StageChange[] => {
   const due = [...table.groupsByServer.values()]
     .filter(({ at, isSettled }) => !isSettled && now - at > CRASH_GROUP_WINDOW_MS);
-  return [...new Set(due)].flatMap((moment) => settleGroup(table, moment, now));
+  return [...new Set(due)].flatMap((group) => settleGroup(table, group, now));
 };
 
 /**
- * Forgets what nothing was heard against for long, and returns what changed for it.
+ * Removes suspects without recent evidence, and returns their changes.
  *
  * @example
  * const changes = expireSuspects(table, clock.now());
  */
 export const expireSuspects = (table: CrashTable, now: number): StageChange[] => {
   const changes = [...table.suspects.values()]
-    .filter(({ lastEvidenceAt: notedAt, refusedUntil }) => (
-      now - Math.max(notedAt, refusedUntil) > SUSPECT_RETENTION_MS))
+    .filter(({ lastEvidenceAt, refusedUntil }) => (
+      now - Math.max(lastEvidenceAt, refusedUntil) > SUSPECT_RETENTION_MS))
     .flatMap((suspect) => clearSuspect(table, suspect, now));
   [...table.groupsByServer]
     .filter(([, { at }]) => now - at > SUSPECT_RETENTION_MS)
--- a/src/core/quarantine/crashTable.ts
+++ b/src/core/quarantine/crashTable.ts
@@ -1,94 +1,97 @@
 /**
- * Which requests end the backend servers that run them, judged from what entries saw.
+ * Which requests crash the backend servers that run them, inferred from what entries observed.
  *
- * Whoever was open at a server when it ended is a suspect, and all but one of them are innocent. A
- * request becomes certain by being there each time: its weight is the sum of the ends under it.
- * Servers that end at the same moment share one cause, so an end counts by the part of these that
- * the request explains: those of a rack that fails are not condemned. Being served clears it.
+ * Every request that was open at a server when it crashed is a suspect, and at most one of them is
+ * the cause. A request gains certainty by being present at each crash: its weight is the sum of the
+ * crashes under it. Servers that crash at the same moment share one cause, so a crash counts only
+ * in proportion to the servers of its group at which the request was present. This keeps a rack
+ * failure from incriminating the requests on the rack. A request that is served is cleared.
  */
 import type { CrashSighting } from '../../protocol/generated/beechlift';
 
-/** Servers that ended within a moment of one another, and the requests under each. */
+/** Servers that crashed within a short time of one another, and the open requests of each. */
 export interface CrashGroup {
-  /** When the first of them ended, monotonic milliseconds. */
+  /** When the first of them crashed, monotonic milliseconds. */
   readonly at: number;
   readonly servers: Map<string, Set<string>>;
-  /** What was heard of each of them since. */
+  /** Announcements that each of them has sent since. */
   readonly announcements: Map<string, LivenessEvidence>;
   isSettled: boolean;
 }
 
-/** Announcements of a server after connections to it broke off. */
+/** Announcements received from a server after connections to it broke. */
 interface LivenessEvidence {
   readonly count: number;
-  /** Number of the newest; the same one may come over several ways. */
+  /** Number of the newest; the same announcement may arrive over several paths. */
   readonly sequence: number;
 }
 
-/** A request under which servers ended. */
+/** A request that was open at servers when they crashed. */
 export interface Suspect {
   readonly fingerprint: string;
-  /** Starts of the servers that ended under it. */
+  /** Incarnations of the servers that crashed under it. */
   readonly servers: Set<string>;
-  /** Weight that an earlier leader came to. */
+  /** Weight computed by an earlier leader. */
   inheritedWeight: number;
   readonly crashGroups: Set<CrashGroup>;
   /** Weight at which it is refused, or refused again. */
   refusalThreshold: number;
   refusals: number;
-  /** Until when it is refused, monotonic milliseconds. */
+  /** End of its refusal, monotonic milliseconds. */
   refusedUntil: number;
-  /** When something was last heard against it, monotonic milliseconds. */
+  /** Time of the latest evidence against it, monotonic milliseconds. */
   lastEvidenceAt: number;
 }
 
 /**
- * - `noted`: treated as any other request.
- * - `watched`: one copy at a time, apart from other suspects, and not sent again by an entry.
- * - `refused`: reaches no server.
+ * - `noted`: treated like any other request.
+ * - `watched`: one copy at a time, apart from other suspects, and not retried by an entry.
+ * - `refused`: sent to no server.
  */
 export type SuspectStage = 'noted' | 'watched' | 'refused';
 
-/** What is kept of suspect requests. */
+/** Suspect requests and the crashes behind them. */
 export interface CrashTable {
-  /** Grows when what entries are told changes. */
+  /** Increases when the list that entries receive changes. */
   revision: number;
   readonly suspects: Map<string, Suspect>;
-  /** Moments by each server that ended in them. */
+  /** Crash group of each server that crashed. */
   readonly groupsByServer: Map<string, CrashGroup>;
 }
 
-/** A change of how a request is treated. */
+/** A change in how a request is treated. */
 export interface StageChange {
   readonly kind: 'watched' | 'refused' | 'cleared';
   readonly suspect: Suspect;
 }
 
-/** Ends within this of one another have one cause, in milliseconds. */
+/** Crashes within this time of one another have one cause, in milliseconds. */
 export const CRASH_GROUP_WINDOW_MS = 100;
 
-/** Ends of servers, one at a time, after which a request is watched, and refused. */
+/** Weight from which a request is watched, and refused: 1 for each server that crashed alone. */
 export const WATCH_THRESHOLD = 2;
 export const REFUSAL_THRESHOLD = 3;
 
-/** Bounds on suspects, on ends, and on the suspects under the end of one server. */
+/** Limits on suspects, on crashes, and on suspects per crashed server. */
 const MAX_SUSPECTS = 4_096;
 const MAX_CRASHES = 4_096;
 const MAX_PER_SERVER = 256;
 
-/** Sums of thirds and sevenths are compared with whole numbers. */
+/** Weights are sums of fractions such as thirds, and are compared with whole numbers. */
 export const WEIGHT_EPSILON = 1e-6;
 
-/** Revision of a table in which nothing that is told has changed. */
+/** Revision of a table whose published list has never changed. */
 export const FIRST_REVISION = 1;
 
 /**
- * Names one start of a server.
+ * Formats the key of one incarnation of a server.
  *
  * @example
- * nameStart({ workerId: 'w1', born: 0 }); // 'w1@0'
+ * formatIncarnation({ workerId: 'w1', born: 0 }); // 'w1@0'
  */
-export const formatIncarnation = ({ workerId, born }: Pick<CrashSighting, 'workerId' | 'born'>): string => (
+export const formatIncarnation = (
+  { workerId, born }: Pick<CrashSighting, 'workerId' | 'born'>,
+): string => (
   `${workerId}@${born}`);
 
 /** Makes an empty table. */
@@ -96,27 +99,31 @@
   revision: FIRST_REVISION, suspects: new Map(), groupsByServer: new Map(),
 });
 
-/** What a moment says against a request: its ends, by the part of the moment that it explains. */
+/** Weight of a crash group: the request's crashes, times their share of the group. */
 export const computeGroupWeight = ({ servers }: CrashGroup, fingerprint: string): number => {
-  const ends = [...servers.values()].filter((under) => under.has(fingerprint)).length;
-  return ends === 0 ? 0 : (ends * ends) / servers.size;
+  const crashes = [...servers.values()]
+    .filter((fingerprints) => fingerprints.has(fingerprint)).length;
+  return crashes === 0 ? 0 : (crashes * crashes) / servers.size;
 };
 
 /**
- * Weighs what speaks against a request: 1 for each server that ended alone under it.
+ * Computes the weight of the evidence against a request: 1 for each server that crashed alone.
  *
  * @example
- * weighSuspect(suspect); // 2.25 after two servers alone, and one of four that ended together
+ * computeSuspectWeight(suspect); // 2.25: two servers alone, and one of four that crashed together
  */
-export const computeSuspectWeight = ({ fingerprint, inheritedWeight: carried, crashGroups: moments }: Suspect): number => (
-  [...moments].reduce((sum, moment) => sum + computeGroupWeight(moment, fingerprint), carried)
+export const computeSuspectWeight = (
+  { fingerprint, inheritedWeight, crashGroups }: Suspect,
+): number => (
+  [...crashGroups]
+    .reduce((sum, group) => sum + computeGroupWeight(group, fingerprint), inheritedWeight)
 );
 
-/** What is left of the time for which a request is refused, in milliseconds. */
+/** Remaining time of a request's refusal, in milliseconds. */
 export const computeRemainingRefusalMs = ({ refusedUntil }: Suspect, now: number): number => (
   Math.max(0, Math.ceil(refusedUntil - now)));
 
-/** Tells how a request is to be treated. */
+/** Finds how a request is to be treated. */
 export const findStage = (
   { suspects }: CrashTable,
   fingerprint: string,
@@ -129,8 +136,8 @@
 };
 
 /**
- * Tells whether a watched request waits until an end under it has been judged: which other servers
- * ended with it is known a moment later.
+ * Whether a watched request must wait because a crash under it has not been evaluated yet: it takes
+ * a moment until all servers that crashed together are known.
  */
 export const hasUnsettledCrash = ({ suspects }: CrashTable, fingerprint: string): boolean => (
   [...suspects.get(fingerprint)?.crashGroups ?? []].some(({ isSettled }) => !isSettled)
@@ -147,12 +154,12 @@
   lastEvidenceAt: now,
 });
 
-/** The oldest that is not watched, else the oldest that is: a flood frees nobody. */
+/** Oldest suspect that is not watched, else oldest that is: a flood must not evict refused ones. */
 const findEvictable = (table: CrashTable, now: number): Suspect | undefined => {
-  const isAt = (stage: SuspectStage) => ({ fingerprint }: Suspect): boolean => (
+  const hasStage = (stage: SuspectStage) => ({ fingerprint }: Suspect): boolean => (
     findStage(table, fingerprint, now) === stage);
   const suspects = [...table.suspects.values()];
-  return suspects.find(isAt('noted')) ?? suspects.find(isAt('watched'));
+  return suspects.find(hasStage('noted')) ?? suspects.find(hasStage('watched'));
 };
 
 const removeSuspect = (table: CrashTable, suspect: Suspect): void => {
@@ -161,7 +168,7 @@
     servers.forEach((fingerprints) => fingerprints.delete(suspect.fingerprint))));
 };
 
-/** The suspect of a fingerprint, made anew where it is not known; none where there is no room. */
+/** Finds the suspect of a fingerprint or adds it; undefined when the table is full. */
 export const findOrMakeSuspect = (
   table: CrashTable,
   fingerprint: string,
@@ -170,34 +177,39 @@
   const known = table.suspects.get(fingerprint);
   if (known) return known;
   if (table.suspects.size >= MAX_SUSPECTS) {
-    const least = findEvictable(table, now);
-    if (!least) return undefined;
-    removeSuspect(table, least);
+    const evictable = findEvictable(table, now);
+    if (!evictable) return undefined;
+    removeSuspect(table, evictable);
   }
   const suspect = makeSuspect(fingerprint, now);
   table.suspects.set(fingerprint, suspect);
   return suspect;
 };
 
-const findOrMakeGroup = ({ groupsByServer: ends }: CrashTable, server: string, at: number): CrashGroup => {
-  const known = ends.get(server)
-    ?? [...ends.values()].find((moment) => Math.abs(moment.at - at) <= CRASH_GROUP_WINDOW_MS);
-  const moment = known ?? {
+const findOrMakeGroup = (
+  { groupsByServer }: CrashTable,
+  server: string,
+  at: number,
+): CrashGroup => {
+  const known = groupsByServer.get(server)
+    ?? [...groupsByServer.values()]
+      .find((group) => Math.abs(group.at - at) <= CRASH_GROUP_WINDOW_MS);
+  const group = known ?? {
     at, servers: new Map<string, Set<string>>(), announcements: new Map(), isSettled: false,
   };
-  const [oldest] = ends.keys();
-  if (ends.size >= MAX_CRASHES && oldest !== undefined) ends.delete(oldest);
-  ends.set(server, moment);
-  return moment;
+  const [oldest] = groupsByServer.keys();
+  if (groupsByServer.size >= MAX_CRASHES && oldest !== undefined) groupsByServer.delete(oldest);
+  groupsByServer.set(server, group);
+  return group;
 };
 
 /**
- * Notes that a server ended under a request.
+ * Records that a server crashed while a request was open at it.
  *
- * @param server names one start of it
- * @param at when it ended, monotonic milliseconds
+ * @param server key of its incarnation
+ * @param at when it crashed, monotonic milliseconds
  * @example
- * noteEnd(table, fingerprint, 'w1@0', clock.now(), clock.now());
+ * recordCrash(table, fingerprint, 'w1@0', clock.now(), clock.now());
  */
 export const recordCrash = (
   table: CrashTable,
@@ -207,33 +219,33 @@
   now: number,
 ): void => {
   if (table.suspects.get(fingerprint)?.servers.has(server)) return;
-  const moment = findOrMakeGroup(table, server, at);
-  const under = moment.servers.get(server) ?? new Set<string>();
-  moment.servers.set(server, under);
-  if (under.size >= MAX_PER_SERVER) return;
+  const group = findOrMakeGroup(table, server, at);
+  const fingerprints = group.servers.get(server) ?? new Set<string>();
+  group.servers.set(server, fingerprints);
+  if (fingerprints.size >= MAX_PER_SERVER) return;
   const suspect = findOrMakeSuspect(table, fingerprint, now);
   if (!suspect) return;
-  under.add(fingerprint);
+  fingerprints.add(fingerprint);
   suspect.servers.add(server);
-  suspect.crashGroups.add(moment);
+  suspect.crashGroups.add(group);
   suspect.lastEvidenceAt = now;
-  moment.isSettled = false;
+  group.isSettled = false;
 };
 
-/** Takes a suspect out that is innocent, and returns what changed for it. */
+/** Removes a suspect that proved innocent, and returns the change if it was listed. */
 export const clearSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
-  const wasTold = findStage(table, suspect.fingerprint, now) !== 'noted';
+  const wasListed = findStage(table, suspect.fingerprint, now) !== 'noted';
   removeSuspect(table, suspect);
-  if (!wasTold) return [];
+  if (!wasListed) return [];
   table.revision += 1;
   return [{ kind: 'cleared', suspect }];
 };
 
 /**
- * Notes that a request was served whole, which one that ends servers never is.
+ * Records that a request was served completely, which a request that crashes servers never is.
  *
  * @example
- * const changes = noteServed(table, fingerprint, clock.now());
+ * const changes = recordServed(table, fingerprint, clock.now());
  */
 export const recordServed = (
   table: CrashTable,
--- a/src/core/quarantine/placementRestriction.ts
+++ b/src/core/quarantine/placementRestriction.ts
@@ -1,22 +1,22 @@
-/** How a request that asks for a slot is to be treated, for what is known against it. */
+/** Restrictions on placing a request, according to the evidence against it. */
 
 /**
- * - `none`: as any other.
+ * - `none`: placed like any other request.
  * - `alone`: one copy at a time, on a server without another suspect.
- * - `held`: not yet, as a server has just ended under it.
- * - `refused`: never.
+ * - `held`: waits, because a server has just crashed under it.
+ * - `refused`: never placed.
  */
 export type RestrictionKind = 'none' | 'alone' | 'held' | 'refused';
 
-/** What the placing of requests is told of one. */
+/** How one request may be placed. */
 export interface PlacementRestriction {
   readonly kind: RestrictionKind;
-  /** What is left of a refusal, in milliseconds. */
+  /** Remaining time of its refusal, in milliseconds. */
   readonly refusedMs: number;
 }
 
-/** Looks a request up by its fingerprint. */
+/** Finds the restriction of a request by its fingerprint. */
 export type RestrictionFinder = (fingerprint: string) => PlacementRestriction;
 
-/** Nothing is known against the request. */
+/** Restriction of a request without evidence against it. */
 export const NO_RESTRICTION: PlacementRestriction = { kind: 'none', refusedMs: 0 };
--- a/src/core/quarantine/suspectList.ts
+++ b/src/core/quarantine/suspectList.ts
@@ -1,17 +1,17 @@
 import type { SuspectRecord, WatchReply, WatchRequest } from '../../protocol/generated/beechlift';
 import { ListVersion } from '../routing/listVersion';
 
-/** The part of a leader's reply that tells the suspect requests. */
+/** The part of a leader's reply that holds the suspect requests. */
 export type SuspectUpdate = Pick<WatchReply, 'suspects' | 'suspectsRevision' | 'workersEpoch'>;
 
-/** The part of a question that tells which list is held. */
+/** The part of a watch request that names the held version of the list. */
 export type SuspectListVersion = Pick<WatchRequest, 'suspectsEpoch' | 'suspectsRevision'>;
 
 /** A request that the leader watches or refuses. */
 export interface ListedSuspect {
-  /** Servers that ended under it. */
+  /** Number of servers that crashed under it. */
   readonly crashCount: number;
-  /** What is left of its refusal, in milliseconds; 0 while it is only watched. */
+  /** Remaining time of its refusal, in milliseconds; 0 while it is only watched. */
   readonly refusedMs: number;
 }
 
@@ -21,8 +21,8 @@
 }
 
 /**
- * The suspect requests as the leader of control last told them: held by entries, which refuse them
- * also while no leader is there, and by replicas that follow.
+ * The latest list of suspect requests received from the leader of control. Entries hold it, so that
+ * they refuse these requests also without a leader, and so do follower replicas.
  *
  * @example
  * list.apply(reply, clock.now());
@@ -33,17 +33,17 @@
 
   private readonly version = new ListVersion();
 
-  /** What is held, for the next question to a leader. */
+  /** Held version, for the next watch request to a leader. */
   get heldVersion(): SuspectListVersion {
     return { suspectsEpoch: this.version.epoch, suspectsRevision: this.version.revision };
   }
 
-  /** How many there are. */
+  /** Number of listed suspects. */
   get size(): number {
     return this.suspects.size;
   }
 
-  /** Takes in what the leader told; false when nothing changed. */
+  /** Applies a leader's update; returns false when nothing changed. */
   apply({ suspects, suspectsRevision, workersEpoch }: SuspectUpdate, now: number): boolean {
     if (!this.version.advance(workersEpoch, suspectsRevision)) return false;
     this.suspects = new Map(suspects.map((record) => (
@@ -51,12 +51,12 @@
     return true;
   }
 
-  /** Finds a request; undefined for one that nothing is known against. */
+  /** Finds a request; undefined when it is not a suspect. */
   find(fingerprint: string, now: number): ListedSuspect | undefined {
-    const known = this.suspects.get(fingerprint);
-    return known && {
-      crashCount: known.record.servers.length,
-      refusedMs: Math.max(0, known.refusedUntil - now),
+    const stored = this.suspects.get(fingerprint);
+    return stored && {
+      crashCount: stored.record.servers.length,
+      refusedMs: Math.max(0, stored.refusedUntil - now),
     };
   }
 }
--- a/src/core/quarantine/suspectRecords.ts
+++ b/src/core/quarantine/suspectRecords.ts
@@ -1,11 +1,11 @@
-/** How suspect requests travel: to entries, to replicas that follow, and to the disk. */
+/** Conversion of suspects to and from the records sent to entries and replicas and stored. */
 import type { SuspectRecord } from '../../protocol/generated/beechlift';
 import {
-  computeRemainingRefusalMs, findStage, findOrMakeSuspect, computeSuspectWeight,
+  computeRemainingRefusalMs, computeSuspectWeight, findOrMakeSuspect, findStage,
 } from './crashTable';
 import type { CrashTable, Suspect } from './crashTable';
 
-/** Suspects that are told of, at most. */
+/** Most records in a list. */
 const MAX_RECORDS = 512;
 
 const toRecord = (suspect: Suspect, now: number): SuspectRecord => ({
@@ -18,7 +18,7 @@
 });
 
 /**
- * Lists the requests that are watched or refused, those that are refused longest first.
+ * Lists the requests that are watched or refused, longest remaining refusal first.
  *
  * @example
  * reply.suspects = listSuspects(table, clock.now());
@@ -32,7 +32,7 @@
 );
 
 /**
- * Takes over what another leader came to; the servers that it counted are not counted again.
+ * Adopts a record of another leader; servers that it counted are not counted again.
  *
  * @example
  * records.forEach((record) => adoptSuspect(table, record, clock.now()));
--- a/src/core/routing/accountDemand.ts
+++ b/src/core/routing/accountDemand.ts
@@ -1,33 +1,36 @@
-/** What the requests of one account ask for, by rank, smoothed. */
+/** Smoothed demand of one account by rank. */
 
-/** Units a second that one rank asks for. */
+/** Demand of one rank, in units per second. */
 interface RankDemand {
   perSecond: number;
-  /** When it was last brought up to date, monotonic milliseconds. */
+  /** Time of the last update, monotonic milliseconds. */
   updatedAt: number;
 }
 
 /** Demand of one account by rank. */
 export type AccountDemand = Map<number, RankDemand>;
 
-/** Time over which demand is smoothed, in milliseconds: a few large requests fall into it. */
+/** Time over which demand is smoothed, in milliseconds: long enough for a few large requests. */
 const WINDOW_MS = 2_000;
 const MS_PER_SECOND = 1_000;
 
-const computeCurrentDemand = ({ perSecond, updatedAt: at }: RankDemand, now: number): number => (
-  perSecond * Math.exp((at - now) / WINDOW_MS)
+const computeCurrentDemand = ({ perSecond, updatedAt }: RankDemand, now: number): number => (
+  perSecond * Math.exp((updatedAt - now) / WINDOW_MS)
 );
 
-/** Counts a request, let through or not. */
+/** Records a request, admitted or not. */
 export const recordDemand = (
   demand: AccountDemand,
   rank: number,
   cost: number,
   now: number,
 ): void => {
-  const known = demand.get(rank);
+  const previous = demand.get(rank);
   const added = (cost * MS_PER_SECOND) / WINDOW_MS;
-  demand.set(rank, { perSecond: (known ? computeCurrentDemand(known, now) : 0) + added, updatedAt: now });
+  demand.set(rank, {
+    perSecond: (previous ? computeCurrentDemand(previous, now) : 0) + added,
+    updatedAt: now,
+  });
 };
 
 const sumDemand = (ranks: readonly RankDemand[], now: number): number => (
@@ -35,14 +38,15 @@
 );
 
 /**
- * Time for whose requests of higher ranks units are kept, in milliseconds: some large requests, and
- * so little that an account near its limit is refused nothing for a clump of arrivals.
+ * Time for whose higher-rank demand units are reserved, in milliseconds: enough for some large
+ * requests, but so little that an account near its limit is not refused because of a brief cluster
+ * of arrivals.
  */
 const RESERVE_MS = 200;
 
 /**
- * Computes how many units a request must leave for the ranks above it: none while the account's
- * limit carries all that it asks for.
+ * Computes how many units a request must leave for higher ranks: none while the account's limit
+ * covers its whole demand.
  *
  * @example
  * const reserve = computeReserve(demand, 2, account.perSecond, now);
--- a/src/core/routing/accountLedger.ts
+++ b/src/core/routing/accountLedger.ts
@@ -1,59 +1,59 @@
-/** What is left of each account's limit over all entries, as the leader of control counts it. */
+/** Remaining limit of each account over all entries, as tracked by the leader of control. */
 import type { AccountGrant, AccountSpend } from '../../protocol/generated/beechlift';
 import type { RoutedAccount } from '../../manifest/routing';
 import { computeReserve, recordDemand } from './accountDemand';
 import type { AccountDemand } from './accountDemand';
 
-/** What one entry reported of an account. */
+/** Latest report of one entry on an account. */
 interface EntrySpend {
   readonly total: number;
-  /** Units that it asks for a second. */
+  /** Requested units per second. */
   readonly demand: number;
   readonly reportedAt: number;
 }
 
 interface LedgerAccount {
   account: RoutedAccount;
-  /** Units that may still be used; below zero they were overdrawn. */
+  /** Units that may still be used; negative when overdrawn. */
   balance: number;
   refilledAt: number;
-  /** What each entry last reported. */
+  /** Latest report of each entry. */
   readonly entries: Map<string, EntrySpend>;
-  /** What all entries ask for a second, kept up with `entries`. */
+  /** Requested units per second of all entries, kept in step with `entries`. */
   entryDemand: number;
-  /** When entries were last looked through for silent ones. */
+  /** When entries were last checked for expiry. */
   expiryCheckedAt: number;
-  /** What the requests that are decided on here ask for. */
+  /** Demand of the requests that the leader decides on itself. */
   readonly demand: AccountDemand;
 }
 
 /**
- * Part of the slack that is added to the burst. The rest covers what cannot be known in time:
- * each entry may overdraw by one request, and an entry that was cut off may use up what it holds.
+ * Share of the slack that is added to the burst. The rest covers what cannot be known in time: each
+ * entry may overdraw by one request, and an entry that is cut off may use up its grant.
  */
 const BURST_SLACK_SHARE = 0.1;
 /**
- * Part of the slack below an empty limit at which requests that are decided on here are still let
- * through. The last one may overdraw by its whole cost, for which the rest of the slack is kept.
+ * Share of the slack by which the balance may be negative while the leader still admits requests.
+ * The last one may overdraw by its whole cost, for which the rest of the slack is reserved.
  */
 const OVERDRAFT_SLACK_SHARE = 0.05;
 /**
- * Part of the slack that entries are lent below that. With more, small requests at entries that
- * are cut off can take an account beyond its limit in a window.
+ * Share of the slack that is granted to entries beyond that. With more, small requests at entries
+ * that are cut off could take an account over its limit within a window.
  */
 const GRANT_SLACK_SHARE = 0.2;
-/** Part of an account's burst that is kept for its higher ranks, at most. */
+/** Largest share of an account's burst that is reserved for its higher ranks. */
 const MAX_RESERVE_SHARE = 0.25;
-/** Part of what is left that is shared evenly: an entry without demand can begin at once. */
+/** Share of grants that is divided evenly, so that an entry without demand can start at once. */
 const EVEN_SHARE = 0.4;
-/** Units a second of all entries below which they ask for nothing. */
+/** Total units per second below which the entries count as having no demand. */
 const MIN_TOTAL_DEMAND = 0.001;
 const MS_PER_SECOND = 1_000;
-/** An entry that is silent for this long holds nothing any more: its lease is over. */
+/** Time without reports after which an entry's grant is void: its lease has ended. */
 const ENTRY_RETENTION_MS = 10_000;
 /**
- * How often silent entries are looked for, in milliseconds: a tenth of what they are kept for. Done
- * with each question, it would grow with the square of the entries.
+ * How often entries are checked for expiry, in milliseconds: a tenth of their retention. A check on
+ * each watch request would take quadratic time in the number of entries.
  */
 const EXPIRY_INTERVAL_MS = 1_000;
 
@@ -67,29 +67,29 @@
   demand: new Map(),
 });
 
-const setSpend = (line: LedgerAccount, entryId: string, spend: EntrySpend | undefined): void => {
-  line.entryDemand += (spend?.demand ?? 0) - (line.entries.get(entryId)?.demand ?? 0);
-  if (spend) line.entries.set(entryId, spend);
-  else line.entries.delete(entryId);
+const setSpend = (account: LedgerAccount, entryId: string, spend: EntrySpend | undefined): void => {
+  account.entryDemand += (spend?.demand ?? 0) - (account.entries.get(entryId)?.demand ?? 0);
+  if (spend) account.entries.set(entryId, spend);
+  else account.entries.delete(entryId);
 };
 
-const expireEntries = (line: LedgerAccount, now: number): void => {
-  if (now - line.expiryCheckedAt < EXPIRY_INTERVAL_MS) return;
-  line.expiryCheckedAt = now;
-  line.entries.forEach(({ reportedAt: heardAt }, id) => {
-    if (now - heardAt > ENTRY_RETENTION_MS) setSpend(line, id, undefined);
+const expireEntries = (account: LedgerAccount, now: number): void => {
+  if (now - account.expiryCheckedAt < EXPIRY_INTERVAL_MS) return;
+  account.expiryCheckedAt = now;
+  account.entries.forEach(({ reportedAt }, id) => {
+    if (now - reportedAt > ENTRY_RETENTION_MS) setSpend(account, id, undefined);
   });
 };
 
 /**
- * Lends what is left of limits to the entries, anew with each of their questions. As all that is
- * lent at a time adds up to what is left, a limit holds over all entries, also over one that is cut
- * off: it can use what it was lent last and no more.
+ * Grants the remaining limits to the entries, renewed with each of their watch requests. All grants
+ * together add up to the remaining limit, so a limit holds over all entries. An entry that is cut
+ * off can use its last grant but no more.
  *
  * @example
  * ledger.configure(routing.accounts, now);
- * ledger.noteSpends('e1', request.spends, now);
- * reply.grants = ledger.listGrants('e1');
+ * ledger.recordSpends('e1', request.spends, now);
+ * reply.grants = ledger.listGrants('e1', entryCount, now);
  */
 export class AccountLedger {
   private readonly accountsByName = new Map<string, LedgerAccount>();
@@ -97,109 +97,109 @@
   /** @param slack units beyond the limits that the site allows within a window */
   constructor(private readonly slack: number) {}
 
-  /** Takes over the accounts of a routing document; what was used of the same account stays. */
+  /** Applies the accounts of a routing document; the usage of existing accounts is kept. */
   configure(accounts: readonly RoutedAccount[], now: number): void {
     const names = new Set(accounts.map(({ name }) => name));
-    this.accountsByName.forEach((line, name) => {
+    this.accountsByName.forEach((state, name) => {
       if (!names.has(name)) this.accountsByName.delete(name);
     });
     accounts.filter(({ perSecond }) => perSecond > 0).forEach((account) => {
-      const line = this.accountsByName.get(account.name);
-      if (!line) {
+      const state = this.accountsByName.get(account.name);
+      if (!state) {
         this.accountsByName.set(account.name, makeLedgerAccount(account, now));
         return;
       }
-      this.refill(line, now);
-      line.account = account;
-      line.balance = Math.min(line.balance, this.computeCapacity(account));
+      this.refill(state, now);
+      state.account = account;
+      state.balance = Math.min(state.balance, this.computeCapacity(account));
     });
   }
 
-  /** Takes in what an entry let through. */
+  /** Records the units that an entry admitted. */
   recordSpends(entryId: string, spends: readonly AccountSpend[], now: number): void {
     spends.forEach(({ account, total, demand }) => {
-      const line = this.accountsByName.get(account);
-      if (!line) return;
-      this.refill(line, now);
-      const before = line.entries.get(entryId);
-      // An entry that this ledger did not know used its units under the leader before.
-      if (before) line.balance -= Math.max(0, total - before.total);
-      setSpend(line, entryId, { total, demand, reportedAt: now });
+      const state = this.accountsByName.get(account);
+      if (!state) return;
+      this.refill(state, now);
+      const previous = state.entries.get(entryId);
+      // An entry that is new to this ledger used its units under an earlier leader.
+      if (previous) state.balance -= Math.max(0, total - previous.total);
+      setSpend(state, entryId, { total, demand, reportedAt: now });
     });
   }
 
   /**
-   * Charges an account for a request that is decided on here, to the unit. One that comes while
-   * anything is left, down to a part of the slack below an empty limit, is let through whole: its
-   * rest is owed by those after it.
+   * Charges an account for a request that the leader decides on, exact to the unit. A request is
+   * admitted as a whole while the balance is above the allowed overdraft; later requests pay back
+   * what it overdraws.
    *
-   * Guards the large requests of an account beyond its limit. Let through only where all of their
-   * cost was left, they hardly ever are, as small ones use up each unit before and then fill the
-   * engines. Within a rank the order of arrival decides, whatever the size.
+   * This admits large requests of an account over its limit. If their full cost had to be
+   * available, they would hardly ever be admitted, because small requests use up each unit before
+   * that and then fill the engines. Within a rank the order of arrival decides, whatever the size.
    *
-   * Above a rank go the ranks before it, as everywhere: a lower one leaves them what they ask for.
+   * A request leaves higher ranks the units that they ask for.
    *
    * @returns 0 when it was charged, otherwise milliseconds until it may be
    */
   charge(name: string, cost: number, rank: number, now: number): number {
-    const line = this.accountsByName.get(name);
-    // A second try of a request costs nothing: it was charged at its first, and is not refused now.
-    if (!line || cost <= 0) return 0;
-    this.refill(line, now);
-    const { perSecond, burst } = line.account;
-    recordDemand(line.demand, rank, cost, now);
+    const state = this.accountsByName.get(name);
+    // A retry costs nothing: it was charged at the first attempt and must not be refused now.
+    if (!state || cost <= 0) return 0;
+    this.refill(state, now);
+    const { perSecond, burst } = state.account;
+    recordDemand(state.demand, rank, cost, now);
     const reserve = Math.min(
       MAX_RESERVE_SHARE * burst,
-      computeReserve(line.demand, rank, perSecond, now),
+      computeReserve(state.demand, rank, perSecond, now),
     );
-    const missing = reserve - line.balance - OVERDRAFT_SLACK_SHARE * this.slack;
-    if (missing >= 0) return Math.max(1, (missing / perSecond) * MS_PER_SECOND);
-    line.balance -= cost;
+    const deficit = reserve - state.balance - OVERDRAFT_SLACK_SHARE * this.slack;
+    if (deficit >= 0) return Math.max(1, (deficit / perSecond) * MS_PER_SECOND);
+    state.balance -= cost;
     return 0;
   }
 
-  /** Gives back what was charged for a request that was refused. */
+  /** Returns the charge of a request that was refused later. */
   refund(name: string, cost: number): void {
-    const line = this.accountsByName.get(name);
-    if (line) line.balance += cost;
+    const state = this.accountsByName.get(name);
+    if (state) state.balance += cost;
   }
 
-  /** What an entry may let through of each limited account. */
+  /** Lists the grants of an entry for all limited accounts. */
   listGrants(entryId: string, entryCount: number, now: number): AccountGrant[] {
-    return [...this.accountsByName.values()].map((line) => {
-      this.refill(line, now);
+    return [...this.accountsByName.values()].map((state) => {
+      this.refill(state, now);
       return {
-        account: line.account.name,
-        units: this.computeGrantable(line) * this.computeShare(line, entryId, entryCount),
-        reportedTotal: line.entries.get(entryId)?.total ?? 0,
+        account: state.account.name,
+        units: this.computeGrantable(state) * this.computeShare(state, entryId, entryCount),
+        reportedTotal: state.entries.get(entryId)?.total ?? 0,
       };
     });
   }
 
   /*
-   * Guards the small requests that entries decide on, of an account whose large ones use up its
-   * limit here: what entries are lent reaches below the level that a large one leaves behind.
+   * Keeps small requests that entries decide on from being refused when large requests use up the
+   * account's limit here: grants reach below the balance that a large request leaves behind.
    */
-  private computeGrantable({ balance: level }: LedgerAccount): number {
-    return Math.max(0, level + (OVERDRAFT_SLACK_SHARE + GRANT_SLACK_SHARE) * this.slack);
+  private computeGrantable({ balance }: LedgerAccount): number {
+    return Math.max(0, balance + (OVERDRAFT_SLACK_SHARE + GRANT_SLACK_SHARE) * this.slack);
   }
 
   private computeCapacity({ burst }: RoutedAccount): number {
     return burst + BURST_SLACK_SHARE * this.slack;
   }
 
-  private computeShare(line: LedgerAccount, entryId: string, entryCount: number): number {
-    const even = 1 / Math.max(1, entryCount);
-    // What is left of a sum after many steps may be a trace beside nothing.
-    if (line.entryDemand < MIN_TOTAL_DEMAND) return even;
-    const part = (line.entries.get(entryId)?.demand ?? 0) / line.entryDemand;
-    return EVEN_SHARE * even + (1 - EVEN_SHARE) * Math.min(1, part);
+  private computeShare(state: LedgerAccount, entryId: string, entryCount: number): number {
+    const evenShare = 1 / Math.max(1, entryCount);
+    // After many additions and subtractions, a sum of zero may leave a rounding error.
+    if (state.entryDemand < MIN_TOTAL_DEMAND) return evenShare;
+    const demandShare = (state.entries.get(entryId)?.demand ?? 0) / state.entryDemand;
+    return EVEN_SHARE * evenShare + (1 - EVEN_SHARE) * Math.min(1, demandShare);
   }
 
-  private refill(line: LedgerAccount, now: number): void {
-    const gained = ((now - line.refilledAt) / MS_PER_SECOND) * line.account.perSecond;
-    line.balance = Math.min(this.computeCapacity(line.account), line.balance + gained);
-    line.refilledAt = now;
-    expireEntries(line, now);
+  private refill(state: LedgerAccount, now: number): void {
+    const refill = ((now - state.refilledAt) / MS_PER_SECOND) * state.account.perSecond;
+    state.balance = Math.min(this.computeCapacity(state.account), state.balance + refill);
+    state.refilledAt = now;
+    expireEntries(state, now);
   }
 }
--- a/src/core/routing/answerTime.ts
+++ b/src/core/routing/answerTime.ts
@@ -1,10 +1,10 @@
-/** How long the whole answer to a request of a model may take at a backend server. */
-import { hasEnoughSamples, estimateAt } from './linearFit';
+/** Estimates whether a model's answer ends in time at a backend server. */
+import { estimateAt, hasEnoughSamples } from './linearFit';
 import { findServiceStats } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers } from './routedWorkers';
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 
-/** What an answer's length follows from. */
+/** What determines the length of an answer. */
 export interface AnswerSize {
   readonly service: string;
   readonly promptTokens: number;
@@ -12,10 +12,10 @@
   readonly outputTokens: number;
 }
 
-/** Part of the time left that an answer may be estimated to need, as speeds vary. */
+/** Share of the remaining time that an estimated answer may use, because speeds vary. */
 const USABLE_TIME_SHARE = 0.8;
 
-const estimateFastestMs = (
+const estimateFastestAnswerMs = (
   workers: RoutedWorkers,
   { service, promptTokens, outputTokens }: AnswerSize,
 ): number => {
@@ -25,20 +25,20 @@
 };
 
 /**
- * Tells whether an answer of the greatest length that it may have ends within a time, at a
- * backend server or, where none is named, at the fastest one; no, while too little is known.
+ * Whether an answer of the maximum length ends within a time, at the given backend server or
+ * otherwise at the fastest one; false while there are too few samples.
  *
  * @example
  * const size = { service: 'scribe', promptTokens: 900, outputTokens: 400 };
- * canEndWithin(workers, size, 3_000, worker);
+ * canFinishWithin(workers, size, 3_000, worker);
  */
 export const canFinishWithin = (
   workers: RoutedWorkers,
   size: AnswerSize,
-  leftMs: number,
+  remainingMs: number,
   worker?: RoutedWorker,
 ): boolean => {
   const fastestMs = findFastestPace(workers, size.service);
   const slowness = worker ? Math.max(1, estimateSlowness(workers, worker, fastestMs)) : 1;
-  return slowness * estimateFastestMs(workers, size) <= USABLE_TIME_SHARE * leftMs;
+  return slowness * estimateFastestAnswerMs(workers, size) <= USABLE_TIME_SHARE * remainingMs;
 };
--- a/src/core/routing/entryList.ts
+++ b/src/core/routing/entryList.ts
@@ -1,45 +1,45 @@
 import type { EntryRecord, WatchReply, WatchRequest } from '../../protocol/generated/beechlift';
 import { ListVersion } from './listVersion';
 
-/** The part of a leader's reply that tells the entries. */
+/** The part of a leader's reply that holds the entries. */
 export type EntryUpdate = Pick<WatchReply, 'entries' | 'entriesRevision' | 'workersEpoch'>;
 
-/** The part of a question that tells which list is held. */
+/** The part of a watch request that names the held version of the list. */
 export type EntryListVersion = Pick<WatchRequest, 'entriesEpoch' | 'entriesRevision'>;
 
 /**
- * The entries that callers may be sent to, as the leader of control last told them: held by the
- * replicas that follow and by the entries, so that callers find the site while no leader is there.
+ * The latest list of entries received from the leader of control. Follower replicas and entries
+ * hold it, so that callers can be directed to entries also without a leader.
  *
  * @example
  * list.apply(reply);
- * const addresses = pickEntries(list.records, 'az-1', 64);
+ * const addresses = selectEntries(list.records, 'az-1', 64);
  */
 export class EntryList {
   records: readonly EntryRecord[] = [];
 
   private readonly version = new ListVersion();
 
-  /** What is held, for the next question to a leader. */
+  /** Held version, for the next watch request to a leader. */
   get heldVersion(): EntryListVersion {
     return { entriesEpoch: this.version.epoch, entriesRevision: this.version.revision };
   }
 
-  /** Takes in what the leader told; a reply without the list says that nothing changed. */
+  /** Applies a leader's update; a reply without the list means that nothing changed. */
   apply({ entries, entriesRevision, workersEpoch }: EntryUpdate): void {
     if (this.version.advance(workersEpoch, entriesRevision)) this.records = entries;
   }
 }
 
-/** Fewest entries of the caller's own availability zone that are named without the others. */
+/** Fewest entries in the caller's availability zone for which the other zones are left out. */
 const MIN_SAME_ZONE = 2;
 
 /**
- * Picks the entries that a caller is told of: those of its own availability zone when there are
- * several, as that is where requests cost no bytes between zones, and otherwise all.
+ * Selects the entries that a caller is directed to: those in its own availability zone when there
+ * are several, because requests within a zone cost no traffic between zones, and otherwise all.
  *
  * @example
- * const addresses = pickEntries(records, 'az-1', 64);
+ * const addresses = selectEntries(records, 'az-1', 64);
  */
 export const selectEntries = (
   entries: readonly EntryRecord[],
@@ -47,6 +47,6 @@
   limit: number,
 ): string[] => {
   const sameZone = entries.filter((entry) => entry.zone === zone);
-  const picked = sameZone.length >= MIN_SAME_ZONE ? sameZone : entries;
-  return picked.slice(0, limit).map(({ callerAddress }) => callerAddress);
+  const selected = sameZone.length >= MIN_SAME_ZONE ? sameZone : entries;
+  return selected.slice(0, limit).map(({ callerAddress }) => callerAddress);
 };
--- a/src/core/routing/freeSlot.ts
+++ b/src/core/routing/freeSlot.ts
@@ -1,44 +1,44 @@
-/** Which free slot a request gets, apart from others where something is known against it. */
+/** Choice of a free slot for a request, isolated from other requests if it is a suspect. */
 import { NO_RESTRICTION } from '../quarantine/placementRestriction';
 import type { PlacementRestriction } from '../quarantine/placementRestriction';
-import type { SlotRequest, PlacementTables } from './placementTables';
+import type { PlacementTables, SlotRequest } from './placementTables';
 import { chooseRoutedWorker } from './workerChoice';
 import type { WorkerChoice } from './workerChoice';
 
-/** What is known against a request. */
+/** Finds the restriction of a request. */
 export const readRestriction = (
-  { findRestriction: findCaution }: PlacementTables,
+  { findRestriction }: PlacementTables,
   { fingerprint }: SlotRequest,
-): PlacementRestriction => (fingerprint ? findCaution(fingerprint) : NO_RESTRICTION);
+): PlacementRestriction => (fingerprint ? findRestriction(fingerprint) : NO_RESTRICTION);
 
-/** Chooses among the servers with a free slot, less those to be avoided and those of its entry. */
+/** Chooses a server with a free slot, except those that the caller or the entry avoids. */
 export const chooseFreeWorker = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   now: number,
   avoided: readonly string[] = [],
 ): WorkerChoice | undefined => chooseRoutedWorker(tables.workers, {
-  service: ask.service,
-  promptTokens: ask.promptTokens,
-  outputTokens: ask.outputTokens,
-  remainingMs: ask.deadlineAt - now,
-  zone: ask.zone,
-  tried: ask.tried,
-  avoided: new Set([...avoided, ...ask.avoidedIds ?? []]),
+  service: request.service,
+  promptTokens: request.promptTokens,
+  outputTokens: request.outputTokens,
+  remainingMs: request.deadlineAt - now,
+  zone: request.zone,
+  tried: request.tried,
+  avoided: new Set([...avoided, ...request.avoidedIds ?? []]),
   requiresFreeSlot: true,
 }, now);
 
 /**
- * Chooses for a suspect: one copy at a time, so that what it does is known before the next runs,
- * and never beside another suspect, so that an end tells which of them it was.
+ * Chooses a server for a suspect. Only one copy runs at a time, so that its outcome is known before
+ * the next one runs, and never beside another suspect, so that a crash identifies its cause.
  */
 export const chooseIsolatedWorker = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   now: number,
 ): WorkerChoice | undefined => {
   const suspects = [...tables.placed.values()]
     .filter((placed) => readRestriction(tables, placed.request).kind !== 'none');
-  if (suspects.some((placed) => placed.request.fingerprint === ask.fingerprint)) return undefined;
-  return chooseFreeWorker(tables, ask, now, suspects.map(({ worker }) => worker.id));
+  if (suspects.some((other) => other.request.fingerprint === request.fingerprint)) return undefined;
+  return chooseFreeWorker(tables, request, now, suspects.map(({ worker }) => worker.id));
 };
--- a/src/core/routing/linearFit.ts
+++ b/src/core/routing/linearFit.ts
@@ -1,51 +1,51 @@
-/** A straight line through observations, of which older ones count less. */
+/** A linear regression in which older samples have exponentially less weight. */
 export interface LinearFit {
   weight: number;
   meanX: number;
   meanY: number;
-  /** Smoothed products of deviations. */
+  /** Smoothed variance and covariance. */
   varianceX: number;
   covariance: number;
-  /** Used until enough is known. */
+  /** Used while there are too few samples. */
   readonly initial: { readonly base: number; readonly slope: number };
 }
 
-/** Weight of one observation: about fifty of them make up the line. */
+/** Weight of one sample: the fit is dominated by about the last fifty. */
 const SMOOTHING = 0.02;
-/** Observations before the line is believed. */
+/** Samples needed before the fit is used. */
 const MIN_SAMPLES = 8;
 
 /**
- * Makes a line from a first guess.
+ * Makes a fit from an initial estimate.
  *
  * @example
- * const fit = makeLineFit(100, 0.02);
+ * const fit = makeLinearFit(100, 0.02);
  */
 export const makeLinearFit = (base: number, slope: number): LinearFit => ({
   weight: 0, meanX: 0, meanY: 0, varianceX: 0, covariance: 0, initial: { base, slope },
 });
 
 /**
- * Learns one observation.
+ * Adds a sample.
  *
  * @example
- * learnLine(fit, promptTokens, firstEventMs);
+ * addSample(fit, promptTokens, firstEventMs);
  */
 export const addSample = (fit: LinearFit, x: number, y: number): void => {
   fit.weight += 1;
-  const part = Math.max(SMOOTHING, 1 / fit.weight);
+  const weight = Math.max(SMOOTHING, 1 / fit.weight);
   const dx = x - fit.meanX;
   const dy = y - fit.meanY;
-  fit.meanX += part * dx;
-  fit.meanY += part * dy;
-  fit.varianceX = (1 - part) * (fit.varianceX + part * dx * dx);
-  fit.covariance = (1 - part) * (fit.covariance + part * dx * dy);
+  fit.meanX += weight * dx;
+  fit.meanY += weight * dy;
+  fit.varianceX = (1 - weight) * (fit.varianceX + weight * dx * dx);
+  fit.covariance = (1 - weight) * (fit.covariance + weight * dx * dy);
 };
 
-/** Whether enough was observed for the line to be believed. */
+/** Whether there are enough samples for the fit to be used. */
 export const hasEnoughSamples = ({ weight }: LinearFit): boolean => weight >= MIN_SAMPLES;
 
-/** Slope of the line, never below zero: more work takes no less time. */
+/** Slope of the fit, never negative: more work does not take less time. */
 export const estimateSlope = (fit: LinearFit): number => (
   !hasEnoughSamples(fit) || fit.varianceX === 0
     ? fit.initial.slope
@@ -53,10 +53,10 @@
 );
 
 /**
- * Reads the line at a point.
+ * Evaluates the fit at a point.
  *
  * @example
- * const expectedMs = readLine(fit, 3_700);
+ * const expectedMs = estimateAt(fit, 3_700);
  */
 export const estimateAt = (fit: LinearFit, x: number): number => (
   !hasEnoughSamples(fit)
--- a/src/core/routing/listVersion.ts
+++ b/src/core/routing/listVersion.ts
@@ -1,9 +1,9 @@
-/** Revision of a leader that tells no list yet. */
+/** Revision of a leader that does not provide the list yet. */
 export const NO_REVISION = 0;
 
 /**
- * Which of a leader's lists is held. Revisions count in that leader's tables; another leader begins
- * anew under another epoch.
+ * Version of the list that is held from a leader. Revisions belong to one leader's tables; another
+ * leader counts from the beginning under another epoch.
  *
  * @example
  * if (version.advance(reply.workersEpoch, reply.entriesRevision)) records = reply.entries;
@@ -11,13 +11,13 @@
 export class ListVersion {
   revision = NO_REVISION;
 
-  /** The leader's tables that the revision counts in; empty before the first list. */
+  /** Identifies the leader's tables that the revision belongs to; empty before the first list. */
   epoch = '';
 
-  /** Moves on to what a leader told; false where that is no list, or nothing newer. */
+  /** Advances to a received version; returns false when there is no list or it is not newer. */
   advance(epoch: string, revision: number): boolean {
     if (revision === NO_REVISION) return false;
-    // Guards against a reply that was overtaken by a newer one of the same leader.
+    // A reply may be overtaken by a newer one of the same leader.
     if (epoch === this.epoch && revision <= this.revision) return false;
     this.epoch = epoch;
     this.revision = revision;
--- a/src/core/routing/messageIntervals.ts
+++ b/src/core/routing/messageIntervals.ts
@@ -1,26 +1,26 @@
-/** How often entries and the leader of control speak to one another, by the size of the site. */
+/** Intervals of the messages between entries and the leader of control, by the size of the site. */
 
-/** Questions that one leader gets from all entries together, a second, where nothing is new. */
+/** Watch requests that one leader receives from all entries per second when nothing changes. */
 const WATCH_REQUESTS_PER_SECOND = 400;
-/** Bounds on how long a question without news is held, in milliseconds. */
+/** Bounds on how long a watch request without updates is held, in milliseconds. */
 const MIN_WATCH_HOLD_MS = 200;
-/** A lease lasts 1.8 s or more: one question may fail, and the leader be found anew, within it. */
+/** A lease lasts 1.8 s or more: one request may fail and the leader be found again within it. */
 const MAX_WATCH_HOLD_MS = 600;
-/** Held back beyond two questions before an entry is taken for silent: a pause of either end. */
+/** Added to two held watch requests in an entry's timeout, for a pause of either process. */
 const ENTRY_TIMEOUT_SLACK_MS = 500;
-/** Answers that news of backend servers may cost the leader, a second. */
+/** Replies per second that updates of backend servers may cost the leader. */
 const UPDATE_REPLIES_PER_SECOND = 1_000;
-/** Bounds on how long such news wait for others, in milliseconds. */
+/** Bounds on how long updates are delayed to be sent together, in milliseconds. */
 const MIN_UPDATE_DELAY_MS = 50;
 const MAX_UPDATE_DELAY_MS = 250;
-/** Messages on the pace of running streams that the leader gets from all entries, a second. */
+/** Messages about the pace of running streams that the leader receives per second in total. */
 const PACE_MESSAGES_PER_SECOND = 200;
-/** Bounds on how long news of a pace wait for a message that goes out anyway, in milliseconds. */
+/** Bounds on how long a pace update waits for a message that is due anyway, in milliseconds. */
 const MIN_PACE_DELAY_MS = 250;
 const MAX_PACE_DELAY_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** Computes how long each entry waits so that all together keep to a rate, within bounds. */
+/** Computes the interval of each entry that keeps all of them at a total rate, within bounds. */
 const computeIntervalMs = (
   entryCount: number,
   perSecond: number,
@@ -29,39 +29,45 @@
 ): number => Math.min(maxMs, Math.max(minMs, (entryCount * MS_PER_SECOND) / perSecond));
 
 /**
- * Computes how long the leader may hold the question of an entry that has no news, in milliseconds.
+ * Computes how long the leader may hold a watch request of an entry without updates, in
+ * milliseconds.
  *
- * Guards the leader of a large site: standing questions cost it the same beside fifty entries and
- * beside two hundred. Whatever changes is told at once, held or not.
+ * This bounds the leader's load on large sites: held watch requests cost it the same with fifty
+ * entries as with two hundred. A change is sent at once, even while a request is held.
  *
  * @example
- * const holdMs = computeHoldMs(191); // 477.5
+ * const holdMs = computeWatchHoldMs(191); // 477.5
  */
 export const computeWatchHoldMs = (entryCount: number): number => (
   computeIntervalMs(entryCount, WATCH_REQUESTS_PER_SECOND, MIN_WATCH_HOLD_MS, MAX_WATCH_HOLD_MS));
 
 /**
- * Computes the silence after which callers are not sent to an entry, in milliseconds: it missed two
- * of its questions.
+ * Computes the time without watch requests after which an entry has timed out and callers are no
+ * longer directed to it, in milliseconds: it has missed two of its requests.
  */
 export const computeEntryTimeoutMs = (entryCount: number): number => (
   2 * computeWatchHoldMs(entryCount) + ENTRY_TIMEOUT_SLACK_MS
 );
 
 /**
- * Computes how long news of a backend server wait for others, in milliseconds: they answer the
- * questions of all entries at once.
+ * Computes how long updates of backend servers are delayed to be sent together, in milliseconds:
+ * each one answers the watch requests of all entries at once.
  *
- * Guards the leader where a hundred servers start together, or go down and up by turns: told one by
- * one they were answered some hundred times over, by each entry. A document is told at once.
+ * This bounds the leader's load when a hundred servers start together or flap. Sent one by one,
+ * their updates would each cause a reply to every entry. A document is sent at once.
  */
 export const computeUpdateDelayMs = (entryCount: number): number => (
-  computeIntervalMs(entryCount, UPDATE_REPLIES_PER_SECOND, MIN_UPDATE_DELAY_MS, MAX_UPDATE_DELAY_MS));
+  computeIntervalMs(
+    entryCount,
+    UPDATE_REPLIES_PER_SECOND,
+    MIN_UPDATE_DELAY_MS,
+    MAX_UPDATE_DELAY_MS,
+  ));
 
 /**
- * Computes how long an entry keeps news of the pace of its running streams, in milliseconds, for a
- * message that goes out anyway: the more entries tell of the same servers, the less each message
- * adds to what the leader knows of them.
+ * Computes how long an entry delays updates on the pace of its running streams, in milliseconds,
+ * for a message that is due anyway: the more entries report on the same servers, the less
+ * information each message adds for the leader.
  */
 export const computePaceDelayMs = (entryCount: number): number => (
   computeIntervalMs(entryCount, PACE_MESSAGES_PER_SECOND, MIN_PACE_DELAY_MS, MAX_PACE_DELAY_MS));
--- a/src/core/routing/placement.ts
+++ b/src/core/routing/placement.ts
@@ -1,24 +1,27 @@
 /**
- * Which request gets which slot of which model engine, decided in one place for all entries.
+ * Placement of requests on the slots of model engines, decided centrally for all entries.
  *
- * It answers bursts: entries that choose for themselves, on loads that are a fifth of a second old,
- * all send to the same engine, where requests then wait in the order they came while another engine
- * idles. Here every slot is known, none is given twice, and what waits is served by rank.
+ * It is designed for bursts. Entries that choose independently, based on loads that are a fifth of
+ * a second old, all send to the same engine, where requests queue in order of arrival while another
+ * engine is idle. Here all slots are known, none is granted twice, and waiting requests are served
+ * by rank.
  */
 import { NO_RESTRICTION } from '../quarantine/placementRestriction';
-import type { RestrictionFinder, RestrictionKind, PlacementRestriction } from '../quarantine/placementRestriction';
+import type {
+  PlacementRestriction, RestrictionFinder, RestrictionKind,
+} from '../quarantine/placementRestriction';
 import { makeArrivalRates, recordArrival } from './arrivalRates';
-import type { SlotRequest, PlacedRequest, PlacementTables } from './placementTables';
-import { chooseIsolatedWorker, chooseFreeWorker, readRestriction } from './freeSlot';
+import type { PlacedRequest, PlacementTables, SlotRequest } from './placementTables';
+import { chooseFreeWorker, chooseIsolatedWorker, readRestriction } from './freeSlot';
 import { makeComparator } from './placementOrder';
 import { computeMaxWaitMs, estimateWaitMs } from './placementWait';
 import {
-  recordAnswer, recordPace, clearSuspension, suspendWorker,
+  clearSuspension, recordAnswer, recordPace, suspendWorker,
 } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers, TimedTokens } from './routedWorkers';
 import type { WorkerChoice } from './workerChoice';
 
-/** What was decided of a request. */
+/** Decision on a request. */
 export type PlacementDecision = | {
   readonly kind: 'grant';
   readonly id: string;
@@ -33,7 +36,7 @@
     readonly retryAfterMs: number;
   };
 
-/** How a placed request goes. */
+/** Progress report on a placed request. */
 export interface PlacementUpdate {
   readonly id: string;
   readonly phase: 'running' | 'ended' | 'failed' | 'dropped' | 'rejected' | 'unreached';
@@ -43,43 +46,43 @@
 }
 
 /**
- * Time after which a refused caller may come back, in milliseconds. One that comes back while the
- * burst lasts is refused again, which helps nobody, so it is told a time in the order of a burst;
- * those that were refused together come back one after the other.
+ * Time after which a refused caller may retry, in milliseconds. A retry during the same burst would
+ * be refused again, so the time is in the order of a burst's length. Retries of callers that were
+ * refused together are spread over successive steps.
  */
 const MIN_RETRY_MS = 2_000;
 const MAX_RETRY_MS = 5_000;
 const RETRY_SPREAD_STEPS = 8;
 const RETRY_SPREAD_STEP_MS = 250;
-/** Bounds what waits, over all services. */
+/** Limit on waiting requests over all services. */
 const MAX_WAITING = 4_096;
 
-/** Makes empty tables over the backend servers. */
+/** Makes empty tables for the given backend servers. */
 export const makePlacementTables = (
   workers: RoutedWorkers,
-  findCaution: RestrictionFinder = () => NO_RESTRICTION,
+  findRestriction: RestrictionFinder = () => NO_RESTRICTION,
 ): PlacementTables => ({
   workers,
   waiting: new Map(),
   placed: new Map(),
   arrivalRates: makeArrivalRates(),
-  findRestriction: findCaution,
+  findRestriction,
   refusals: 0,
 });
 
 const refuse = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   now: number,
   reason: string,
 ): PlacementDecision => {
-  tables.waiting.delete(ask.id);
+  tables.waiting.delete(request.id);
   tables.refusals += 1;
-  const waitMs = estimateWaitMs(tables, ask, now);
+  const waitMs = estimateWaitMs(tables, request, now);
   const spreadMs = (tables.refusals % RETRY_SPREAD_STEPS) * RETRY_SPREAD_STEP_MS;
   return {
     kind: 'refuse',
-    id: ask.id,
+    id: request.id,
     code: 'noSlotInTime',
     reason,
     retryAfterMs: Math.round(Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs) + spreadMs)),
@@ -88,151 +91,154 @@
 
 const grant = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   { worker, waitMs, ownMs }: WorkerChoice,
   now: number,
 ): PlacementDecision => {
-  tables.waiting.delete(ask.id);
-  tables.placed.set(ask.id, {
-    request: ask,
+  tables.waiting.delete(request.id);
+  tables.placed.set(request.id, {
+    request,
     worker,
     placedAt: now,
     pendingTokensBefore: worker.pendingTokens + worker.othersPendingTokens,
     hasStarted: false,
   });
   worker.inFlight += 1;
-  worker.pendingTokens += ask.promptTokens;
+  worker.pendingTokens += request.promptTokens;
   return {
-    kind: 'grant', id: ask.id, workerId: worker.id, expectedMs: Math.round(waitMs + ownMs),
+    kind: 'grant', id: request.id, workerId: worker.id, expectedMs: Math.round(waitMs + ownMs),
   };
 };
 
 /**
- * Services that have been found without a free slot, so that nobody else is tried in vain; with
- * the servers that were left out, as others may have free slots there.
+ * Services without a free slot, so that further requests need not be tried. Keyed together with the
+ * avoided servers, because requests that avoid other servers may still find free slots.
  */
 type FullServices = Set<string>;
 
-const formatFullKey = ({ service, avoidedIds = [] }: SlotRequest): string => [service, ...avoidedIds].join(' ');
+const formatFullKey = ({ service, avoidedIds = [] }: SlotRequest): string => [
+  service, ...avoidedIds,
+].join(' ');
 
 const refuseQuarantined = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   { refusedMs }: PlacementRestriction,
 ): PlacementDecision => {
-  tables.waiting.delete(ask.id);
+  tables.waiting.delete(request.id);
   return {
     kind: 'refuse',
-    id: ask.id,
+    id: request.id,
     code: 'requestQuarantined',
-    reason: `backend servers ended under request "${ask.fingerprint ?? ''}" each time`,
+    reason: `backend servers crashed repeatedly while they ran request "${request.fingerprint ?? ''}"`,
     retryAfterMs: refusedMs,
   };
 };
 
 const chooseIfNotFull = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   full: FullServices,
   now: number,
 ): WorkerChoice | undefined => {
-  if (full.has(ask.service) || full.has(formatFullKey(ask))) return undefined;
-  const choice = chooseFreeWorker(tables, ask, now);
-  if (!choice) full.add(formatFullKey(ask));
+  if (full.has(request.service) || full.has(formatFullKey(request))) return undefined;
+  const choice = chooseFreeWorker(tables, request, now);
+  if (!choice) full.add(formatFullKey(request));
   return choice;
 };
 
 const decideWaiting = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   full: FullServices,
   now: number,
 ): PlacementDecision | undefined => {
-  const caution = readRestriction(tables, ask);
-  if (caution.kind === 'refused') return refuseQuarantined(tables, ask, caution);
+  const restriction = readRestriction(tables, request);
+  if (restriction.kind === 'refused') return refuseQuarantined(tables, request, restriction);
   const choosers: Record<RestrictionKind, () => WorkerChoice | undefined> = {
-    none: () => chooseIfNotFull(tables, ask, full, now),
-    alone: () => chooseIsolatedWorker(tables, ask, now),
+    none: () => chooseIfNotFull(tables, request, full, now),
+    alone: () => chooseIsolatedWorker(tables, request, now),
     held: () => undefined,
     refused: () => undefined,
   };
-  const choice = choosers[caution.kind]();
-  if (choice) return grant(tables, ask, choice, now);
-  const isOver = now - ask.askedAt > computeMaxWaitMs(tables, ask);
-  return isOver ? refuse(tables, ask, now, 'no slot was free in time') : undefined;
+  const choice = choosers[restriction.kind]();
+  if (choice) return grant(tables, request, choice, now);
+  const isOver = now - request.askedAt > computeMaxWaitMs(tables, request);
+  return isOver ? refuse(tables, request, now, 'no slot was free in time') : undefined;
 };
 
 /**
- * Gives free slots to what waits, in its order, and refuses what has waited too long to be answered
- * on time.
+ * Grants free slots to waiting requests in their order, and refuses requests that have waited too
+ * long to be answered on time.
  *
  * @example
- * const decisions = runPlacement(tables, clock.now());
+ * const decisions = placeWaiting(tables, clock.now());
  */
 export const placeWaiting = (tables: PlacementTables, now: number): PlacementDecision[] => {
   const full: FullServices = new Set();
   return [...tables.waiting.values()]
     .sort(makeComparator(tables))
-    .flatMap((ask) => decideWaiting(tables, ask, full, now) ?? []);
+    .flatMap((request) => decideWaiting(tables, request, full, now) ?? []);
 };
 
 const addWaiting = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   now: number,
 ): PlacementDecision | undefined => {
-  recordArrival(tables.arrivalRates, ask.service, ask.rank, now);
-  if (tables.waiting.size >= MAX_WAITING) return refuse(tables, ask, now, 'too many requests wait');
-  tables.waiting.set(ask.id, ask);
+  recordArrival(tables.arrivalRates, request.service, request.rank, now);
+  if (tables.waiting.size >= MAX_WAITING) return refuse(tables, request, now, 'too many requests are waiting for a slot');
+  tables.waiting.set(request.id, request);
   return undefined;
 };
 
 const refuseLongWait = (
   tables: PlacementTables,
-  ask: SlotRequest,
+  request: SlotRequest,
   now: number,
 ): PlacementDecision | undefined => {
   const isTooLong = tables.workers.mechanisms.earlyRefusal
-    && tables.waiting.has(ask.id)
-    && estimateWaitMs(tables, ask, now) > computeMaxWaitMs(tables, ask);
-  return isTooLong ? refuse(tables, ask, now, 'the wait for a slot would be too long') : undefined;
+    && tables.waiting.has(request.id)
+    && estimateWaitMs(tables, request, now) > computeMaxWaitMs(tables, request);
+  return isTooLong ? refuse(tables, request, now, 'the expected wait for a slot is too long') : undefined;
 };
 
 /**
- * Takes in requests that came together. One that would wait too long is refused at once: its caller
- * can come back when the burst is over, and no time is spent on it meanwhile. The last in order are
- * looked at first, as they leave room for those before them.
+ * Decides on requests that arrived together. A request that would wait too long is refused at once:
+ * its caller can retry after the burst, and no time is spent on it meanwhile. Refusals are checked
+ * from the last in order, because each one makes room for those before it.
  *
  * @example
- * const decisions = askPlaces(tables, [ask], clock.now());
+ * const decisions = requestSlots(tables, [request], clock.now());
  */
 export const requestSlots = (
   tables: PlacementTables,
-  asks: readonly SlotRequest[],
+  requests: readonly SlotRequest[],
   now: number,
 ): PlacementDecision[] => {
-  const fresh = asks.filter(({ id }) => !tables.waiting.has(id) && !tables.placed.has(id));
-  const refusedAsFull = fresh.flatMap((ask) => addWaiting(tables, ask, now) ?? []);
+  const newRequests = requests
+    .filter(({ id }) => !tables.waiting.has(id) && !tables.placed.has(id));
+  const refusedAsFull = newRequests.flatMap((request) => addWaiting(tables, request, now) ?? []);
   const decisions = placeWaiting(tables, now);
-  const refusedForWait = [...fresh]
+  const refusedForWait = [...newRequests]
     .sort(makeComparator(tables))
     .reverse()
-    .flatMap((ask) => refuseLongWait(tables, ask, now) ?? []);
+    .flatMap((request) => refuseLongWait(tables, request, now) ?? []);
   return [...refusedAsFull, ...decisions, ...refusedForWait];
 };
 
-/** Takes a request out that nobody waits for any more. */
+/** Removes a waiting request that its caller has abandoned. */
 export const removeWaiting = (tables: PlacementTables, id: string): void => {
   tables.waiting.delete(id);
 };
 
 const releaseSlot = (
   tables: PlacementTables,
-  { request: ask, worker, hasStarted: hasBegun }: PlacedRequest,
+  { request, worker, hasStarted }: PlacedRequest,
 ): RoutedWorker => {
-  tables.placed.delete(ask.id);
+  tables.placed.delete(request.id);
   worker.inFlight -= 1;
-  if (!hasBegun) worker.pendingTokens -= ask.promptTokens;
+  if (!hasStarted) worker.pendingTokens -= request.promptTokens;
   return worker;
 };
 
@@ -247,30 +253,30 @@
 );
 
 type UpdateHandler = (
-  tables: PlacementTables, placed: PlacedRequest, news: PlacementUpdate, now: number,
+  tables: PlacementTables, placed: PlacedRequest, update: PlacementUpdate, now: number,
 ) => void;
 
-const makeEndHandler = (isFailed: boolean): UpdateHandler => (tables, placed, news, now) => {
-  const { request: ask, placedAt, pendingTokensBefore: pendingBefore } = placed;
+const makeEndHandler = (isFailed: boolean): UpdateHandler => (tables, placed, update, now) => {
+  const { request, placedAt, pendingTokensBefore } = placed;
   const worker = releaseSlot(tables, placed);
   if (!isFailed) clearSuspension(worker);
   recordAnswer(tables.workers, worker, {
     holdMs: now - placedAt,
     paceMs: 0,
-    firstEvent: makeTimedTokens(news.firstEventMs, ask.promptTokens + pendingBefore),
-    output: makeTimedTokens(news.outputMs, ask.outputTokens),
+    firstEvent: makeTimedTokens(update.firstEventMs, request.promptTokens + pendingTokensBefore),
+    output: makeTimedTokens(update.outputMs, request.outputTokens),
     failed: isFailed,
   });
 };
 
-const suspend: UpdateHandler = (tables, placed, news, now) => {
+const suspend: UpdateHandler = (tables, placed, update, now) => {
   suspendWorker(releaseSlot(tables, placed), now);
 };
 
 const updateHandlers: Record<PlacementUpdate['phase'], UpdateHandler> = {
-  running: (tables, placed, news) => {
+  running: (tables, placed, update) => {
     markStarted(placed);
-    if (news.paceMs > 0) recordPace(placed.worker, news.paceMs);
+    if (update.paceMs > 0) recordPace(placed.worker, update.paceMs);
   },
   ended: makeEndHandler(false),
   failed: makeEndHandler(true),
@@ -282,36 +288,41 @@
 };
 
 /**
- * Takes in how a placed request goes.
+ * Applies a progress report on a placed request.
  *
  * @example
- * notePlaced(tables, { id, phase: 'ended', paceMs: 0, firstEventMs: 180, outputMs: 640 }, now);
+ * const update = { id, phase: 'ended', paceMs: 0, firstEventMs: 180, outputMs: 640 };
+ * applyPlacementUpdate(tables, update, clock.now());
  */
-export const applyPlacementUpdate = (tables: PlacementTables, news: PlacementUpdate, now: number): void => {
-  const placed = tables.placed.get(news.id);
-  if (placed) updateHandlers[news.phase](tables, placed, news, now);
-  else if (news.phase === 'dropped') removeWaiting(tables, news.id);
+export const applyPlacementUpdate = (
+  tables: PlacementTables,
+  update: PlacementUpdate,
+  now: number,
+): void => {
+  const placed = tables.placed.get(update.id);
+  if (placed) updateHandlers[update.phase](tables, placed, update, now);
+  else if (update.phase === 'dropped') removeWaiting(tables, update.id);
 };
 
 /**
- * Frees what an entry has placed and does not hold: the reply was lost with the connection that
- * carried it. Without this its slot stays taken until the request's deadline.
+ * Releases slots that were granted to an entry but that it does not hold: the reply was lost with
+ * its connection. Otherwise such a slot would stay taken until the request's deadline.
  *
  * @example
- * keepPlaced(tables, 'e1', new Set(['p7']));
+ * retainPlaced(tables, 'e1', new Set(['p7']));
  */
 export const retainPlaced = (
   tables: PlacementTables,
   entryId: string,
-  held: ReadonlySet<string>,
+  heldIds: ReadonlySet<string>,
 ): void => {
   [...tables.placed.values()]
-    .filter(({ request: ask }) => ask.entryId === entryId && !held.has(ask.id))
+    .filter(({ request }) => request.entryId === entryId && !heldIds.has(request.id))
     .forEach((placed) => releaseSlot(tables, placed));
 };
 
 /**
- * Frees what an entry holds that has gone, and what must have ended by its deadline: its report was
+ * Releases slots of entries that are gone, and of requests past their deadline, whose reports were
  * lost.
  *
  * @example
@@ -319,13 +330,13 @@
  */
 export const expirePlaced = (
   tables: PlacementTables,
-  isThere: (entryId: string) => boolean,
+  isPresent: (entryId: string) => boolean,
   now: number,
 ): void => {
   [...tables.placed.values()]
-    .filter(({ request: ask }) => now > ask.deadlineAt || !isThere(ask.entryId))
+    .filter(({ request }) => now > request.deadlineAt || !isPresent(request.entryId))
     .forEach((placed) => releaseSlot(tables, placed));
   [...tables.waiting.values()]
-    .filter(({ entryId }) => !isThere(entryId))
+    .filter(({ entryId }) => !isPresent(entryId))
     .forEach(({ id }) => tables.waiting.delete(id));
 };
--- a/src/core/routing/placementOrder.ts
+++ b/src/core/routing/placementOrder.ts
@@ -1,35 +1,36 @@
-/** In which order requests that wait for a slot get one. */
+/** Order in which waiting requests get a slot. */
 import { estimateAt } from './linearFit';
-import type { SlotRequest, PlacementTables } from './placementTables';
+import type { PlacementTables, SlotRequest } from './placementTables';
 import { findServiceStats } from './routedWorkers';
 
-/** Milliseconds that a request is expected to hold a slot of the fastest engine. */
-const estimateHoldMs = ({ workers }: PlacementTables, ask: SlotRequest): number => {
-  const { firstEvent, output } = findServiceStats(workers, ask.service);
-  return estimateAt(firstEvent, ask.promptTokens) + estimateAt(output, ask.outputTokens);
+/** Expected milliseconds that a request holds a slot of the fastest engine. */
+const estimateHoldMs = ({ workers }: PlacementTables, request: SlotRequest): number => {
+  const { firstEvent, output } = findServiceStats(workers, request.service);
+  return estimateAt(firstEvent, request.promptTokens) + estimateAt(output, request.outputTokens);
 };
 
 /**
- * Makes the order: higher ranks first, then the shorter request, then the one that came first.
+ * Makes the comparator: higher ranks first, then shorter requests, then earlier ones.
  *
- * It answers bursts in which slots are short. Lengths differ by 1 to 100 within a rank, and a few
- * of the longest hold slots in whose time many others are served. Nobody waits for ever: patience
- * is bounded, and who is refused comes back after the burst.
+ * The shorter request goes first because of bursts in which slots are scarce. Lengths differ by a
+ * factor of up to 100 within a rank, and many requests can be served in the time of a few of the
+ * longest ones. No request starves: the maximum wait is bounded, and refused callers retry after
+ * the burst.
  *
  * @example
- * waiting.sort(makeOrder(tables));
+ * waiting.sort(makeComparator(tables));
  */
 export const makeComparator = (
   tables: PlacementTables,
 ): (a: SlotRequest, b: SlotRequest) => number => {
-  const isByLength = tables.workers.mechanisms.shortestFirst;
-  const holds = new Map<string, number>();
-  const readHold = (ask: SlotRequest): number => {
-    const known = holds.get(ask.id) ?? estimateHoldMs(tables, ask);
-    holds.set(ask.id, known);
-    return known;
+  const isShortestFirst = tables.workers.mechanisms.shortestFirst;
+  const holdMsById = new Map<string, number>();
+  const readHoldMs = (request: SlotRequest): number => {
+    const holdMs = holdMsById.get(request.id) ?? estimateHoldMs(tables, request);
+    holdMsById.set(request.id, holdMs);
+    return holdMs;
   };
   return (a, b) => a.rank - b.rank
-    || (isByLength ? readHold(a) - readHold(b) : 0)
+    || (isShortestFirst ? readHoldMs(a) - readHoldMs(b) : 0)
     || a.askedAt - b.askedAt;
 };
--- a/src/core/routing/placementWait.ts
+++ b/src/core/routing/placementWait.ts
@@ -1,13 +1,13 @@
-/** How long requests wait for a slot of a model engine, and how long they may. */
+/** How long requests are expected to wait for a slot of a model engine, and how long they may. */
 import { sumHigherRates } from './arrivalRates';
 import { estimateAt } from './linearFit';
 import { makeComparator } from './placementOrder';
-import type { SlotRequest, PlacementTables } from './placementTables';
+import type { PlacementTables, SlotRequest } from './placementTables';
 import { findServiceStats, isReachable } from './routedWorkers';
 
 /**
- * How long a request may wait for a slot, as a part of its target latency, by rank. The rest of the
- * target is for its own beginning. The lowest rank gives up first, as it is served last.
+ * Longest wait of a request for a slot, as a share of its target latency, by rank. The rest of the
+ * target is for the start of its own answer. The lowest rank gives up first, as it is served last.
  */
 const MAX_WAIT_SHARE_BY_RANK = [0.8, 0.7, 0.6];
 
@@ -22,44 +22,54 @@
     .reduce((sum, { slots }) => sum + slots, 0)
 );
 
-const countAhead = (tables: PlacementTables, ask: SlotRequest): number => {
+const countAhead = (tables: PlacementTables, request: SlotRequest): number => {
   const compare = makeComparator(tables);
   return [...tables.waiting.values()].filter((other) => (
-    other.service === ask.service && other.id !== ask.id && compare(other, ask) <= 0)).length;
+    other.service === request.service
+      && other.id !== request.id
+      && compare(other, request) <= 0)).length;
 };
 
-/** Part of all slots that a rank gets at least, however many requests of higher ranks come. */
+/** Share of all slots that each rank gets at least, regardless of higher-rank arrivals. */
 const MIN_SLOT_SHARE = 0.05;
 
 /**
- * Estimates how long a request waits for a slot: by what waits before it, how long slots are held,
- * and how many of the slots that become free go to higher ranks which arrive meanwhile. Without the
- * last, low ranks would be let in to wait and be refused late.
+ * Estimates how long a request waits for a slot, from the requests ahead of it, the time that slots
+ * are held, and the freed slots that go to higher ranks arriving meanwhile. Without the latter, low
+ * ranks would be admitted to the queue only to be refused late.
  *
  * @example
- * if (estimateWaitMs(tables, ask, now) > computePatienceMs(tables, ask)) refuse();
+ * if (estimateWaitMs(tables, request, now) > computeMaxWaitMs(tables, request)) refuse();
  */
-export const estimateWaitMs = (tables: PlacementTables, ask: SlotRequest, now: number): number => {
-  const slots = Math.max(1, countSlots(tables, ask, now));
-  const { holdMs } = findServiceStats(tables.workers, ask.service);
+export const estimateWaitMs = (
+  tables: PlacementTables,
+  request: SlotRequest,
+  now: number,
+): number => {
+  const slots = Math.max(1, countSlots(tables, request, now));
+  const { holdMs } = findServiceStats(tables.workers, request.service);
   const freedPerMs = slots / holdMs;
   const higherPerMs = tables.workers.mechanisms.higherRanks
-    ? sumHigherRates(tables.arrivalRates, ask.service, ask.rank, now)
+    ? sumHigherRates(tables.arrivalRates, request.service, request.rank, now)
     : 0;
-  const leftPerMs = Math.max(MIN_SLOT_SHARE * freedPerMs, freedPerMs - higherPerMs);
-  return (countAhead(tables, ask) + 1) / leftPerMs;
+  const remainingPerMs = Math.max(MIN_SLOT_SHARE * freedPerMs, freedPerMs - higherPerMs);
+  return (countAhead(tables, request) + 1) / remainingPerMs;
 };
 
 /**
- * How long a request may wait for a slot and still begin on time. What its own beginning takes is
- * held back, half of its target at most: long requests are not turned away for being long.
+ * Computes how long a request may wait for a slot and still start on time. The time until its own
+ * answer starts is deducted, up to half of its target: long requests are not refused for being
+ * long.
  *
  * @example
- * const isOver = now - ask.askedAt > computePatienceMs(tables, ask);
+ * const isOver = now - request.askedAt > computeMaxWaitMs(tables, request);
  */
-export const computeMaxWaitMs = (tables: PlacementTables, ask: SlotRequest): number => {
-  const rank = tables.workers.mechanisms.patienceByRank ? ask.rank : 0;
+export const computeMaxWaitMs = (tables: PlacementTables, request: SlotRequest): number => {
+  const rank = tables.workers.mechanisms.patienceByRank ? request.rank : 0;
   const share = MAX_WAIT_SHARE_BY_RANK[Math.min(rank, MAX_WAIT_SHARE_BY_RANK.length - 1)] ?? 0;
-  const ownMs = estimateAt(findServiceStats(tables.workers, ask.service).firstEvent, ask.promptTokens);
-  return Math.max(0, share * ask.targetMs - Math.min(ownMs, ask.targetMs / 2));
+  const ownMs = estimateAt(
+    findServiceStats(tables.workers, request.service).firstEvent,
+    request.promptTokens,
+  );
+  return Math.max(0, share * request.targetMs - Math.min(ownMs, request.targetMs / 2));
 };
--- a/src/core/routing/retryBudget.ts
+++ b/src/core/routing/retryBudget.ts
@@ -1,30 +1,30 @@
-/** How often a service's requests may be repeated at one of the entries that share the bounds. */
+/** Limits how often a service's requests may be retried at one entry. */
 
-/** Bounds on repeats over all entries together, as the site sets them. */
+/** Limits on retries over all entries together, as configured for the site. */
 export interface RetryBounds {
-  /** Repeats for each request in a window. */
+  /** Retries allowed per request in a window. */
   readonly ratio: number;
-  /** Repeats that are allowed in a window whatever the requests. */
+  /** Retries allowed in a window independent of the number of requests. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** Repeats that one service has left. */
+/** Remaining retries of one service. */
 interface ServiceBudget {
   left: number;
   refilledAt: number;
 }
 
-/** Part of the bounds that is used: the rest covers entries that start anew with a full share. */
+/** Share of the limits that is used: the rest covers entries that restart with a full budget. */
 const USED_SHARE = 0.5;
 
 /**
- * Counts repeats by service. Each request adds the ratio, and the slack is refilled over the
- * window; both are shared by the number of entries.
+ * Counts retries by service. Each request adds the ratio, and the slack is refilled over the
+ * window; both are shared among the entries.
  *
  * @example
- * allowance.noteRequest('rooms');
- * if (allowance.take('rooms', clock.now())) sendAgain();
+ * budget.recordRequest('rooms', clock.now());
+ * if (budget.take('rooms', clock.now())) retry();
  */
 export class RetryBudget {
   private readonly byService = new Map<string, ServiceBudget>();
@@ -36,22 +36,22 @@
 
   /** Counts a request of the service. */
   recordRequest(service: string, now: number): void {
-    const allowance = this.refill(service, now);
-    allowance.left = Math.min(this.capacity, allowance.left + this.bounds.ratio * USED_SHARE);
+    const budget = this.refill(service, now);
+    budget.left = Math.min(this.capacity, budget.left + this.bounds.ratio * USED_SHARE);
   }
 
-  /** Takes one repeat, when there is one left. */
+  /** Takes one retry from the budget; returns false when none is left. */
   take(service: string, now: number): boolean {
-    const allowance = this.refill(service, now);
-    if (allowance.left < 1) return false;
-    allowance.left -= 1;
+    const budget = this.refill(service, now);
+    if (budget.left < 1) return false;
+    budget.left -= 1;
     return true;
   }
 
-  /** Gives back a repeat that was taken and not made. */
+  /** Returns a retry that was taken but not made. */
   refund(service: string, now: number): void {
-    const allowance = this.refill(service, now);
-    allowance.left = Math.min(this.capacity, allowance.left + 1);
+    const budget = this.refill(service, now);
+    budget.left = Math.min(this.capacity, budget.left + 1);
   }
 
   private get capacity(): number {
@@ -59,15 +59,15 @@
   }
 
   private refill(service: string, now: number): ServiceBudget {
-    const known = this.byService.get(service);
-    if (!known) {
+    const budget = this.byService.get(service);
+    if (!budget) {
       const fresh = { left: this.capacity / 2, refilledAt: now };
       this.byService.set(service, fresh);
       return fresh;
     }
-    const gained = (this.capacity * (now - known.refilledAt)) / (2 * this.bounds.windowMs);
-    known.left = Math.min(this.capacity, known.left + gained);
-    known.refilledAt = now;
-    return known;
+    const gained = (this.capacity * (now - budget.refilledAt)) / (2 * this.bounds.windowMs);
+    budget.left = Math.min(this.capacity, budget.left + gained);
+    budget.refilledAt = now;
+    return budget;
   }
 }
--- a/src/core/routing/routeTable.ts
+++ b/src/core/routing/routeTable.ts
@@ -21,8 +21,9 @@
 };
 
 /**
- * A routing, indexed for one look-up a request: by host, then by each prefix of the path from the
- * longest on, so that the cost grows with the depth of the path and not with the number of routes.
+ * Index of a routing document, with one lookup per request: by host, then by each prefix of the
+ * path from the longest on. The cost grows with the depth of the path, not with the number of
+ * routes.
  *
  * @example
  * const route = new RouteTable(routing).findRoute('shop.example', '/orders/7');
@@ -36,15 +37,18 @@
 
   private readonly minAccountRank: number;
 
-  /** Ranks that routes have, 0 included. */
+  /** Number of ranks that routes can have, rank 0 included. */
   private readonly routeRankCount: number;
 
   constructor(readonly routing: Routing) {
     this.minAccountRank = routing.accounts.reduce(
-      (least, { rank }) => Math.min(least, rank ?? 0),
+      (lowest, { rank }) => Math.min(lowest, rank ?? 0),
       Infinity,
     );
-    this.routeRankCount = 1 + routing.routes.reduce((most, { rank }) => Math.max(most, rank), 0);
+    this.routeRankCount = 1 + routing.routes.reduce(
+      (highest, { rank }) => Math.max(highest, rank),
+      0,
+    );
     this.hosts = indexByHost(routing.routes);
     this.services = new Map(routing.services.map((service) => [service.name, service]));
     this.accountsByKey = new Map(routing.accounts.flatMap(
@@ -52,12 +56,12 @@
     ));
   }
 
-  /** Whether requests need a key, but for those of public routes. */
+  /** Whether requests need a key, except on public routes. */
   get needsKeys(): boolean {
     return this.routing.accounts.length > 0;
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Finds the route with the longest prefix of the path. */
   findRoute(host: string, target: string): Route | undefined {
     const prefixes = this.hosts.get(removePort(host));
     if (!prefixes) return undefined;
@@ -72,39 +76,40 @@
     return undefined;
   }
 
-  /** The account that holds a key. */
+  /** Finds the account that a key belongs to. */
   findAccount(key: string): RoutedAccount | undefined {
     return this.accountsByKey.get(key);
   }
 
   /**
-   * Rank of a request: 0 goes first. An account's rank precedes the route's, so it counts by as
-   * many steps as routes have ranks; where all accounts have the same, the routes' decide alone.
+   * Computes the rank of a request, of which 0 goes first. An account's rank takes precedence over
+   * the route's: one step of it outweighs all route ranks. If all accounts have the same rank, the
+   * route's alone decides.
    */
   computeRank(route: Route, account: RoutedAccount | undefined): number {
     const steps = account ? (account.rank ?? 0) - this.minAccountRank : 0;
     return route.rank + steps * this.routeRankCount;
   }
 
-  /** A service by name. */
+  /** Finds a service by name. */
   findService(name: string): RoutedService | undefined {
     return this.services.get(name);
   }
 }
 
 /**
- * Picks the service that takes a request, by weight.
+ * Picks the target service of a request at random, by weight.
  *
- * @param draw a number from 0 to below 1
+ * @param draw a random number from 0 (inclusive) to 1 (exclusive)
  * @example
  * const service = pickTarget(route.targets, Math.random());
  */
 export const pickTarget = (targets: readonly RouteTarget[], draw: number): string => {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = draw * total;
-  const found = targets.find(({ weight }) => {
-    left -= weight;
-    return left < 0;
+  let remaining = draw * total;
+  const picked = targets.find(({ weight }) => {
+    remaining -= weight;
+    return remaining < 0;
   });
-  return (found ?? targets.at(-1))?.service ?? '';
+  return (picked ?? targets.at(-1))?.service ?? '';
 };
--- a/src/core/routing/routedWorkers.ts
+++ b/src/core/routing/routedWorkers.ts
@@ -8,10 +8,10 @@
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 import type { WorkerStanding } from './workerTable';
 
-/** A backend server as one entry sees it. */
+/** A backend server from the point of view of one entry. */
 export interface RoutedWorker {
   readonly id: string;
-  /** Names its start: another start under the same id is another server here. */
+  /** Identifies its incarnation: another one under the same id is a different server here. */
   readonly born: number;
   service: string;
   address: string;
@@ -19,81 +19,81 @@
   slots: number;
   standing: WorkerStanding;
   isCold: boolean;
-  /** Requests of this entry that it holds. */
+  /** Open requests of this entry at the server. */
   inFlight: number;
-  /** Those of them that the present leader of control placed, and knows of. */
+  /** Those of them that the current leader of control placed. */
   placed: number;
-  /** Prompt tokens of those that have not begun to answer. */
+  /** Prompt tokens of those that have not started to answer. */
   pendingTokens: number;
-  /** What the other entries together have there, as last told. */
+  /** Open requests of all other entries at the server, as last reported. */
   othersInFlight: number;
   othersPendingTokens: number;
-  /** Smoothed time a unit of its work takes here: an event of a stream, or a whole answer. */
+  /** Smoothed time per unit of work at this server: a stream event, or a whole answer. */
   paceMs: number;
   paceSamples: number;
-  /** Slowness as the other entries observed it; 0 when they did not. */
+  /** Slowness observed by the other entries; 0 without observations. */
   othersSlowness: number;
   /** Smoothed share of failures among its answers. */
   failureShare: number;
-  /** No request before this, monotonic milliseconds. */
+  /** End of its suspension, monotonic milliseconds. */
   suspendedUntil: number;
-  /** How long the next suspension lasts. */
+  /** Length of the next suspension. */
   suspensionMs: number;
-  /** What it asked this entry for. */
+  /** Backoff that it requested from this entry. */
   backoff: WorkerBackoff;
-  /** Whether it said in an answer that it leaves. */
+  /** Whether it reported in an answer that it is leaving. */
   isLeaving: boolean;
 }
 
-/** What is known of the work of a service, over all its backend servers. */
+/** Statistics of a service over all its backend servers. */
 export interface ServiceStats {
   /** Smoothed time that a request holds a slot, in milliseconds. */
   holdMs: number;
-  /** Time to the first event on the fastest server, by prompt tokens to be read until then. */
+  /** Time to the first event on the fastest server, by prompt tokens to be processed before it. */
   readonly firstEvent: LinearFit;
-  /** Time from the first event to the last on the fastest server, by output tokens allowed. */
+  /** Time from the first to the last event on the fastest server, by allowed output tokens. */
   readonly output: LinearFit;
   failureShare: number;
 }
 
-/** All that an entry knows of backend servers. */
+/** The backend servers that an entry knows, and their statistics. */
 export interface RoutedWorkers {
   readonly byId: Map<string, RoutedWorker>;
   readonly byService: Map<string, RoutedWorker[]>;
   readonly serviceStats: Map<string, ServiceStats>;
-  /** Requests that this entry may have at one server at a time, by service; none: no bound. */
+  /** Most open requests of this entry per server, by service; a missing service has no limit. */
   connectionShares: ReadonlyMap<string, number>;
   readonly mechanisms: Mechanisms;
 }
 
-/** How long some tokens took. */
+/** Time that a number of tokens took. */
 export interface TimedTokens {
   readonly ms: number;
   readonly tokens: number;
 }
 
-/** One answer, as the entry that relayed it timed it. */
+/** Timing of one answer, measured by the entry that relayed it. */
 export interface AnswerSample {
   readonly holdMs: number;
-  /** Time of a whole plain answer; 0 for a stream, whose pace is learnt while it runs. */
+  /** Time of a whole plain answer; 0 for a stream, whose pace is recorded while it runs. */
   readonly paceMs: number;
-  /** Time to the first event, and the prompt tokens that were to be read until then. */
+  /** Time to the first event, and the prompt tokens to be processed before it. */
   readonly firstEvent: TimedTokens | undefined;
-  /** Time from the first event to the last, and the output tokens that were allowed. */
+  /** Time from the first to the last event, and the allowed output tokens. */
   readonly output: TimedTokens | undefined;
   readonly failed: boolean;
 }
 
-/** First guesses, replaced by what is observed: those of a mid-sized engine. */
+/** Initial estimates until there are samples: those of a mid-sized engine. */
 const INITIAL_HOLD_MS = 500;
 const INITIAL_BASE_MS = 100;
 const INITIAL_PROMPT_TOKEN_MS = 0.02;
 const INITIAL_OUTPUT_TOKEN_MS = 5;
 
-/** Weight of one observation: about ten of them replace what was known. */
+/** Weight of one sample: about ten of them replace the previous value. */
 const SMOOTHING = 0.2;
 
-/** Shortest and longest time a server is left alone after a request did not arrive there. */
+/** Shortest and longest suspension of a server that a request did not reach. */
 const MIN_SUSPENSION_MS = 300;
 const MAX_SUSPENSION_MS = 5_000;
 
@@ -143,24 +143,27 @@
 };
 
 /*
- * Guards a server that has started again under its id against what was learnt and counted of its
- * start before: pace, failures, pauses and the requests that it held. Requests that are still
- * open towards the earlier start go on counting at the entity they were sent to.
+ * Gives a restarted server fresh statistics and counts, independent of its earlier incarnation's
+ * pace, failures, suspension and open requests. Requests that are still open at the earlier
+ * incarnation remain counted on its own object.
  */
 const findOrMakeWorker = ({ byId }: RoutedWorkers, id: string, born: number): RoutedWorker => {
-  const known = byId.get(id);
-  return known?.born === born ? known : makeWorker(id, born);
+  const existing = byId.get(id);
+  return existing?.born === born ? existing : makeWorker(id, born);
 };
 
-const applyRecord = (workers: RoutedWorkers, { said, standing }: WorkerRecord): void => {
-  if (!said) return;
-  const worker = findOrMakeWorker(workers, said.workerId, said.born);
-  worker.service = said.service || worker.service;
-  worker.address = said.address || worker.address;
-  worker.zone = said.zone || worker.zone;
-  worker.slots = Math.max(1, said.slots || worker.slots);
+const applyRecord = (
+  workers: RoutedWorkers,
+  { said: announcement, standing }: WorkerRecord,
+): void => {
+  if (!announcement) return;
+  const worker = findOrMakeWorker(workers, announcement.workerId, announcement.born);
+  worker.service = announcement.service || worker.service;
+  worker.address = announcement.address || worker.address;
+  worker.zone = announcement.zone || worker.zone;
+  worker.slots = Math.max(1, announcement.slots || worker.slots);
   worker.standing = standing as WorkerStanding;
-  worker.isCold = said.coldMs > 0;
+  worker.isCold = announcement.coldMs > 0;
   workers.byId.set(worker.id, worker);
 };
 
@@ -171,7 +174,7 @@
 };
 
 /**
- * Takes in records of backend servers that changed.
+ * Applies records of backend servers that changed.
  *
  * @example
  * applyRecords(workers, reply.workers);
@@ -187,7 +190,7 @@
 };
 
 /**
- * Takes in what the other entries have at each backend server; one that is not named has nothing.
+ * Applies the other entries' load on each backend server; a server without a load has none.
  *
  * @example
  * applyLoads(workers, reply.loads);
@@ -202,21 +205,21 @@
   });
 };
 
-/** A service, and the connections that each of its servers takes from all entries together. */
+/** A service, and the connections that each of its servers accepts from all entries together. */
 export interface ConnectionLimit {
   readonly name: string;
-  /** 0 where there is no bound. */
+  /** 0 when there is no limit. */
   readonly maxConnections: number;
 }
 
 /**
- * Shares the connections that servers take among the entries.
+ * Divides the connections that servers accept among the entries.
  *
- * Guards against connections beyond a server's bound, which it resets: they carry one request each,
- * so what an entry has at a server at a time is bounded by its share.
+ * A server resets connections beyond its limit. Each connection carries one request, so the open
+ * requests of an entry at a server are limited to its share.
  *
  * @example
- * setConnectionShares(workers, routing.services, 8); // 12 for each entry where servers take 96
+ * setConnectionShares(workers, routing.services, 8); // 12 per entry if servers accept 96
  */
 export const setConnectionShares = (
   workers: RoutedWorkers,
@@ -229,18 +232,18 @@
       [name, Math.max(1, Math.floor(maxConnections / Math.max(1, entryCount)))])));
 };
 
-/** What is known of a service's work. */
+/** Finds the statistics of a service, or adds initial ones. */
 export const findServiceStats = (workers: RoutedWorkers, service: string): ServiceStats => {
-  const known = workers.serviceStats.get(service);
-  if (known) return known;
-  const work = {
+  const existing = workers.serviceStats.get(service);
+  if (existing) return existing;
+  const stats = {
     holdMs: INITIAL_HOLD_MS,
     firstEvent: makeLinearFit(INITIAL_BASE_MS, INITIAL_PROMPT_TOKEN_MS),
     output: makeLinearFit(0, INITIAL_OUTPUT_TOKEN_MS),
     failureShare: 0,
   };
-  workers.serviceStats.set(service, work);
-  return work;
+  workers.serviceStats.set(service, stats);
+  return stats;
 };
 
 const addTimedSample = (fit: LinearFit, { ms, tokens }: TimedTokens, slowness: number): void => {
@@ -248,58 +251,58 @@
 };
 
 /**
- * Learns how long a unit of work takes at a server: of a stream while it runs, as a slow server is
- * to be known before its first long stream has ended.
+ * Records the time that a unit of work took at a server. For a stream this happens while it runs,
+ * so that a slow server is detected before its first long stream has ended.
  */
 export const recordPace = (worker: RoutedWorker, paceMs: number): void => {
   worker.paceMs = worker.paceSamples === 0 ? paceMs : smooth(worker.paceMs, paceMs);
   worker.paceSamples += 1;
 };
 
-/** Learns from one answer. */
+/** Records the timing of one answer. */
 export const recordAnswer = (
   workers: RoutedWorkers,
   worker: RoutedWorker,
   sample: AnswerSample,
 ): void => {
-  const work = findServiceStats(workers, worker.service);
+  const stats = findServiceStats(workers, worker.service);
   worker.failureShare = smooth(worker.failureShare, sample.failed ? 1 : 0);
-  work.failureShare = smooth(work.failureShare, sample.failed ? 1 : 0);
+  stats.failureShare = smooth(stats.failureShare, sample.failed ? 1 : 0);
   if (sample.failed) return;
-  work.holdMs = smooth(work.holdMs, sample.holdMs);
+  stats.holdMs = smooth(stats.holdMs, sample.holdMs);
   const fastestMs = findFastestPace(workers, worker.service);
   const slowness = Math.max(1, estimateSlowness(workers, worker, fastestMs));
-  if (sample.firstEvent) addTimedSample(work.firstEvent, sample.firstEvent, slowness);
-  if (sample.output) addTimedSample(work.output, sample.output, slowness);
+  if (sample.firstEvent) addTimedSample(stats.firstEvent, sample.firstEvent, slowness);
+  if (sample.output) addTimedSample(stats.output, sample.output, slowness);
   if (sample.paceMs > 0) recordPace(worker, sample.paceMs);
 };
 
-/** A request did not arrive at a server, or its connection broke: it is left alone for a while. */
+/** Suspends a server that a request did not reach, or whose connection broke. */
 export const suspendWorker = (worker: RoutedWorker, now: number): void => {
   if (now < worker.suspendedUntil) return;
   worker.suspendedUntil = now + worker.suspensionMs;
   worker.suspensionMs = Math.min(MAX_SUSPENSION_MS, worker.suspensionMs * 2);
 };
 
-/** Whether a server takes new requests, by what control told and by its own answers. */
+/** Whether a server accepts new requests, according to control and to its own answers. */
 export const isReady = ({ standing, isLeaving }: RoutedWorker): boolean => (
   standing === 'ready' && !isLeaving
 );
 
-/** Whether requests may be expected to arrive at a server. */
+/** Whether requests are expected to reach a server. */
 export const isReachable = (
   { mechanisms }: RoutedWorkers,
   { suspendedUntil }: RoutedWorker,
   now: number,
 ): boolean => now >= suspendedUntil || !mechanisms.suspension;
 
-/** A request was answered by a server: it is in reach. */
+/** Ends the suspension of a server, because it answered a request. */
 export const clearSuspension = (worker: RoutedWorker): void => {
   worker.suspendedUntil = 0;
   worker.suspensionMs = MIN_SUSPENSION_MS;
 };
 
-/** Another leader knows nothing of what the one before placed. */
+/** Resets the placed counts, because a new leader does not know the earlier leader's placements. */
 export const resetPlaced = (workers: RoutedWorkers): void => {
   workers.byId.forEach((worker) => {
     worker.placed = 0;
@@ -320,8 +323,8 @@
 });
 
 /**
- * Lists what this entry has at each backend server without the leader's knowing, for the leader and
- * the other entries.
+ * Lists the load that this entry puts on each backend server without the leader's placement, for
+ * the leader and the other entries.
  *
  * @example
  * request.loads = listLoads(workers);
--- a/src/core/routing/siteDocument.ts
+++ b/src/core/routing/siteDocument.ts
@@ -1,6 +1,6 @@
-/** The replicated state of a routed site: one document; the highest version is in force. */
+/** Replicated state of a routed site: one document, of which the highest version is in force. */
 
-/** What the log carries. */
+/** Command in the replicated log. */
 export interface DocumentCommand {
   readonly version: number;
   readonly document: string;
@@ -13,15 +13,15 @@
   readonly document: string;
 }
 
-/** A site that has accepted nothing. */
+/** State of a site that has not accepted a document yet. */
 export const NO_DOCUMENT: SiteDocument = { version: 0, digest: '', document: '' };
 
 /**
  * Applies a committed command.
  *
- * Guards against a change that was overtaken, or that comes again after its acknowledgement was
- * lost: a version that is not higher changes nothing, whatever its content, so nothing that was in
- * force comes back.
+ * A version that is not higher than the current one changes nothing, whatever its content. This
+ * way a change that was overtaken, or sent again after its acknowledgement was lost, cannot restore
+ * an earlier document.
  *
  * @example
  * state = applyDocument(state, JSON.parse(entry.command), digest);
@@ -33,7 +33,7 @@
 ): SiteDocument => (version > state.version ? { version, document, digest } : state);
 
 /**
- * Reads the state from a snapshot of the log; an empty text is a site that has accepted nothing.
+ * Parses the state from a snapshot of the log; empty data means that no document was accepted yet.
  *
  * @example
  * state = parseSiteDocument(snapshot.data);
--- a/src/core/routing/workerBackoff.ts
+++ b/src/core/routing/workerBackoff.ts
@@ -1,77 +1,89 @@
 /**
- * The rest that a backend server asked an entry for. It is no suspicion: it ends when the server
- * said, and no answer to another request ends it sooner.
+ * The backoff that a backend server requested from an entry. Unlike a suspension, it ends only at
+ * the time that the server named, and no answer to another request ends it sooner.
  */
 
-/** A rest, and what was sent to the server in it. */
+/** A backoff period, and the probes sent to the server during it. */
 export interface WorkerBackoff {
-  /** When it began and when it is over, monotonic milliseconds. */
+  /** Start and end of the period, monotonic milliseconds. */
   readonly startedAt: number;
   readonly until: number;
-  /** Requests that were sent there since it began. */
+  /** Requests sent to the server since the period began. */
   readonly probeCount: number;
 }
 
-/** The rest of a server that never asked for one. */
+/** Backoff of a server that has not requested one. */
 export const NO_BACKOFF: WorkerBackoff = { startedAt: -Infinity, until: -Infinity, probeCount: 0 };
 
-/** Longest rest that is believed, so that a faulty server is not left alone for good. */
+/** Longest accepted backoff, so that a faulty server cannot exclude itself for good. */
 const MAX_BACKOFF_MS = 300_000;
-/** Requests that a server gets in its rest at most, where its service has no other one left. */
+/** Most requests sent to a server that is backing off, when its service has no other one. */
 const MAX_PROBES = 2;
 
-/** Shortest time over which callers that were refused together come back, in milliseconds. */
+/** Shortest time over which the retries of refused callers are spread, in milliseconds. */
 const MIN_SPREAD_MS = 250;
-/** Part of a rest over which they come back, where that is longer. */
+/** Share of the backoff over which they are spread, when that is longer. */
 const SPREAD_SHARE = 0.25;
-/** Longest time that a caller is told: a server may start meanwhile. */
+/** Longest delay before a retry that a caller is given: a new server may start meanwhile. */
 const MAX_RETRY_MS = 10_000;
 
 /**
- * Whether a server wants no requests at the moment.
+ * Whether a server has requested that no requests be sent at the moment.
  *
  * @example
- * if (!isResting(worker.rest, clock.now())) send(worker);
+ * if (!isBackingOff(worker.backoff, clock.now())) send(worker);
  */
 export const isBackingOff = ({ until }: WorkerBackoff, now: number): boolean => now < until;
 
 /**
- * Takes in that a server asked for rest. It counts from when that was heard, which is later than
- * when it was said. A shorter one does not end a longer one sooner, and one that is asked for
- * within another goes on with its probes, so that no part of them gets more than one rest may.
+ * Applies a backoff request of a server. The period counts from the receipt of the request, which
+ * is later than its sending. A shorter period does not end a longer one sooner. A request during a
+ * backoff extends it and keeps its probe count, so no part of it gets more probes than one period
+ * allows.
  *
  * @example
- * worker.rest = noteRest(worker.rest, 3_000, clock.now());
+ * worker.backoff = extendBackoff(worker.backoff, 3_000, clock.now());
  */
-export const extendBackoff = (rest: WorkerBackoff, restMs: number, now: number): WorkerBackoff => {
-  if (!(restMs > 0)) return rest;
-  const until = now + Math.min(MAX_BACKOFF_MS, restMs);
-  if (!isBackingOff(rest, now)) return { startedAt: now, until, probeCount: 0 };
-  return { ...rest, until: Math.max(rest.until, until) };
+export const extendBackoff = (
+  backoff: WorkerBackoff,
+  durationMs: number,
+  now: number,
+): WorkerBackoff => {
+  if (!(durationMs > 0)) return backoff;
+  const until = now + Math.min(MAX_BACKOFF_MS, durationMs);
+  if (!isBackingOff(backoff, now)) return { startedAt: now, until, probeCount: 0 };
+  return { ...backoff, until: Math.max(backoff.until, until) };
 };
 
 /**
- * Whether a server that rests may be asked all the same, where no other one is left: twice, at even
- * distances, as one that turns away a part of its requests would serve most of these.
+ * Whether a server that is backing off may get a probe request, when no other server is left. Two
+ * probes are allowed, evenly spaced: a server that rejects only a part of its requests would serve
+ * most of them.
  *
  * @example
- * if (mayProbe(worker.rest, clock.now())) worker.rest = addProbe(worker.rest);
+ * if (mayProbe(worker.backoff, clock.now())) worker.backoff = countProbe(worker.backoff);
  */
-export const mayProbe = ({ startedAt: from, until, probeCount: probes }: WorkerBackoff, now: number): boolean => {
-  const dueAt = from + ((probes + 1) / (MAX_PROBES + 1)) * (until - from);
-  return probes < MAX_PROBES && now >= dueAt && now < until;
+export const mayProbe = (
+  { startedAt, until, probeCount }: WorkerBackoff,
+  now: number,
+): boolean => {
+  const dueAt = startedAt + ((probeCount + 1) / (MAX_PROBES + 1)) * (until - startedAt);
+  return probeCount < MAX_PROBES && now >= dueAt && now < until;
 };
 
-/** Counts a request that is sent to a server in its rest. */
-export const countProbe = (rest: WorkerBackoff): WorkerBackoff => ({ ...rest, probeCount: rest.probeCount + 1 });
+/** Counts a request that is sent to a server during its backoff. */
+export const countProbe = (backoff: WorkerBackoff): WorkerBackoff => (
+  { ...backoff, probeCount: backoff.probeCount + 1 }
+);
 
 /**
- * Tells a refused caller when to come back: when the shortest rest is over, and not all at once.
+ * Computes when a refused caller may retry: after the shortest backoff, spread over some time so
+ * that callers do not all return at once.
  *
- * @param share where this caller comes among the others, from 0 to 1
+ * @param share position of this caller within the spread, from 0 to 1
  * @example
- * computeRestRetryMs(2_000, Math.random()); // 2000 to 2500
+ * computeRetryAfterMs(2_000, Math.random()); // 2000 to 2500
  */
-export const computeRetryAfterMs = (restMs: number, share: number): number => (
-  Math.min(MAX_RETRY_MS, restMs) + share * Math.max(MIN_SPREAD_MS, SPREAD_SHARE * restMs)
+export const computeRetryAfterMs = (backoffMs: number, share: number): number => (
+  Math.min(MAX_RETRY_MS, backoffMs) + share * Math.max(MIN_SPREAD_MS, SPREAD_SHARE * backoffMs)
 );
--- a/src/core/routing/workerChoice.ts
+++ b/src/core/routing/workerChoice.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend server takes a request: the one that is expected to begin its answer first, of
- * those that may take it.
+ * Choice of the backend server for a request: among the eligible servers, the one that is expected
+ * to start its answer first.
  */
 import { estimateAt, estimateSlope } from './linearFit';
 import { findServiceStats, isReachable, isReady } from './routedWorkers';
@@ -8,104 +8,110 @@
 import { isBackingOff, mayProbe } from './workerBackoff';
 import { estimateSlowness, findFastestPace } from './workerSlowness';
 
-/** What the choice needs to know of a request. */
+/** Properties of a request that the choice depends on. */
 export interface ChoiceRequest {
   readonly service: string;
   readonly promptTokens: number;
-  /** Tokens that its answer is expected to have; 0 for plain requests. */
+  /** Expected tokens of its answer; 0 for plain requests. */
   readonly outputTokens: number;
-  /** Milliseconds in which the whole answer must have come. */
+  /** Milliseconds until the whole answer is due. */
   readonly remainingMs: number;
   /** Availability zone of the entry. */
   readonly zone: string;
-  /** Backend servers that this request was at already. */
+  /** Backend servers that the request has already been sent to. */
   readonly tried: readonly string[];
-  /** Backend servers that must not take it. */
+  /** Backend servers that must not be chosen. */
   readonly avoided?: ReadonlySet<string>;
-  /** Whether only a server with a free slot will do. */
+  /** Whether only a server with a free slot may be chosen. */
   readonly requiresFreeSlot: boolean;
 }
 
-/** A backend server, and what is expected of it. */
+/** A chosen backend server with its estimates. */
 export interface WorkerChoice {
   readonly worker: RoutedWorker;
-  /** Expected milliseconds until a slot is free and what is before the request has been read. */
+  /** Expected milliseconds until a slot is free and the prompts before this one are processed. */
   readonly waitMs: number;
-  /** Expected milliseconds that its own beginning takes from then on. */
+  /** Expected milliseconds from then until its own answer starts. */
   readonly ownMs: number;
 }
 
 /**
- * What a byte that crosses availability zones costs is weighed as this much time: a nearer server
- * is preferred only where it answers as soon, but for some milliseconds.
+ * Cost of traffic between availability zones, expressed as time: a server in the same zone is
+ * preferred when it answers as soon as the others, apart from a few milliseconds.
  */
 const CROSS_ZONE_PENALTY_MS = 6;
 
-/** How many times its wait counts for a server all of whose answers fail beyond the usual. */
+/** Factor on the expected start of a server whose answers all fail, above the usual rate. */
 const FAILURE_PENALTY = 20;
 
-/** Milliseconds that a plain answer of a server of usual speed takes, so that loads compare. */
+/** Milliseconds of a plain answer at a server of usual speed, which makes loads comparable. */
 const PLAIN_ANSWER_MS = 10;
 
-/** A cold server is expected to take this many times as long. */
+/** Factor by which a cold server is expected to take longer. */
 const COLD_FACTOR = 2;
 
 interface AnswerEstimate {
-  /** Milliseconds until a slot is free and what is before the request has been read. */
+  /** Milliseconds until a slot is free and the prompts before this one are processed. */
   readonly waitMs: number;
-  /** Milliseconds that its own beginning takes from then on. */
+  /** Milliseconds from then until its own answer starts. */
   readonly ownMs: number;
-  /** Milliseconds from its beginning to its end. */
+  /** Milliseconds from the start to the end of its answer. */
   readonly outputMs: number;
 }
 
 const estimateAnswer = (
   workers: RoutedWorkers,
-  work: ServiceStats,
+  stats: ServiceStats,
   worker: RoutedWorker,
   request: ChoiceRequest,
   fastestMs: number | undefined,
 ): AnswerEstimate => {
   const slowness = estimateSlowness(workers, worker, fastestMs) * (worker.isCold ? COLD_FACTOR : 1);
-  const held = worker.inFlight + worker.othersInFlight;
-  const over = Math.max(0, held + 1 - worker.slots);
-  const slotMs = (over * work.holdMs) / worker.slots;
+  const openRequests = worker.inFlight + worker.othersInFlight;
+  const excess = Math.max(0, openRequests + 1 - worker.slots);
+  const slotMs = (excess * stats.holdMs) / worker.slots;
   const pending = worker.pendingTokens + worker.othersPendingTokens;
-  const crowdMs = (PLAIN_ANSWER_MS * held) / worker.slots;
+  const loadMs = (PLAIN_ANSWER_MS * openRequests) / worker.slots;
   const isPrompt = request.promptTokens > 0;
   return {
-    waitMs: slowness * (slotMs + pending * estimateSlope(work.firstEvent) + crowdMs),
-    ownMs: slowness * (isPrompt ? estimateAt(work.firstEvent, request.promptTokens) : PLAIN_ANSWER_MS),
-    outputMs: isPrompt ? slowness * estimateAt(work.output, request.outputTokens) : 0,
+    waitMs: slowness * (slotMs + pending * estimateSlope(stats.firstEvent) + loadMs),
+    ownMs: slowness
+      * (isPrompt ? estimateAt(stats.firstEvent, request.promptTokens) : PLAIN_ANSWER_MS),
+    outputMs: isPrompt ? slowness * estimateAt(stats.output, request.outputTokens) : 0,
   };
 };
 
-/** Part of the time left that an answer is expected to need at most, as lengths are estimates. */
+/** Share of the remaining time that an answer is expected to need, as lengths are estimates. */
 const USABLE_TIME_SHARE = 0.8;
 
 /*
- * Guards long answers against slow servers, which would be cut off by their deadline after all the
- * work: what an answer is expected to last beyond its time counts like a wait.
+ * Keeps long answers from slow servers, where they would be cut off by their deadline after all the
+ * work: expected time beyond the deadline counts like a wait.
  */
-const computeOverrunMs = (expected: AnswerEstimate, { remainingMs }: ChoiceRequest): number => (
-  Math.max(0, expected.waitMs + expected.ownMs + expected.outputMs - USABLE_TIME_SHARE * remainingMs)
+const computeOverrunMs = (estimate: AnswerEstimate, { remainingMs }: ChoiceRequest): number => (
+  Math.max(
+    0,
+    estimate.waitMs + estimate.ownMs + estimate.outputMs - USABLE_TIME_SHARE * remainingMs,
+  )
 );
 
-const computeFailureFactor = (work: ServiceStats, worker: RoutedWorker): number => (
-  1 + FAILURE_PENALTY * Math.max(0, worker.failureShare - work.failureShare - 0.1)
+const computeFailureFactor = (stats: ServiceStats, worker: RoutedWorker): number => (
+  1 + FAILURE_PENALTY * Math.max(0, worker.failureShare - stats.failureShare - 0.1)
 );
 
 const computeScore = (
   { mechanisms }: RoutedWorkers,
-  work: ServiceStats,
+  stats: ServiceStats,
   worker: RoutedWorker,
-  expected: AnswerEstimate,
+  estimate: AnswerEstimate,
   request: ChoiceRequest,
 ): number => {
-  const weight = mechanisms.failureWeight ? computeFailureFactor(work, worker) : 1;
+  const weight = mechanisms.failureWeight ? computeFailureFactor(stats, worker) : 1;
   const isNear = !mechanisms.zoneAffinity || worker.zone === request.zone;
-  const overrunMs = mechanisms.overrunGuard ? computeOverrunMs(expected, request) : 0;
-  return (expected.waitMs + expected.ownMs) * weight + (isNear ? 0 : CROSS_ZONE_PENALTY_MS) + overrunMs;
+  const overrunMs = mechanisms.overrunGuard ? computeOverrunMs(estimate, request) : 0;
+  return (estimate.waitMs + estimate.ownMs) * weight
+    + (isNear ? 0 : CROSS_ZONE_PENALTY_MS)
+    + overrunMs;
 };
 
 const hasFreeSlot = ({ inFlight, othersInFlight, slots }: RoutedWorker): boolean => (
@@ -122,9 +128,10 @@
   && (!request.requiresFreeSlot || hasFreeSlot(worker));
 
 /**
- * Servers that may take a request, the best kind that there is: in reach and not tried yet; else in
- * reach; and for requests that are not placed, else any that is ready, and last one that rests and
- * may be asked all the same. A last server that failed a request is better than a refusal.
+ * Lists the best available kind of servers for a request: reachable and untried ones; otherwise
+ * reachable ones. For requests that are not placed by the leader, the fallback is any ready and
+ * untried server, and finally one that is backing off and may be probed. Sending a request to the
+ * last server again is better than refusing it.
  */
 const listCandidates = (
   workers: RoutedWorkers,
@@ -133,18 +140,19 @@
 ): RoutedWorker[] => {
   const usable = (workers.byService.get(request.service) ?? [])
     .filter((worker) => isUsable(workers, worker, request));
-  const willing = usable.filter(({ backoff: rest }) => !isBackingOff(rest, now));
-  const inReach = willing.filter((worker) => isReachable(workers, worker, now));
-  const fresh = inReach.filter(({ id }) => !request.tried.includes(id));
-  if (fresh.length > 0) return fresh;
-  if (inReach.length > 0 || request.requiresFreeSlot) return inReach;
-  const untried = willing.filter(({ id }) => !request.tried.includes(id));
+  const available = usable.filter(({ backoff }) => !isBackingOff(backoff, now));
+  const reachable = available.filter((worker) => isReachable(workers, worker, now));
+  const untriedReachable = reachable.filter(({ id }) => !request.tried.includes(id));
+  if (untriedReachable.length > 0) return untriedReachable;
+  if (reachable.length > 0 || request.requiresFreeSlot) return reachable;
+  const untried = available.filter(({ id }) => !request.tried.includes(id));
   if (untried.length > 0) return untried;
-  return usable.filter(({ id, backoff: rest }) => !request.tried.includes(id) && mayProbe(rest, now));
+  return usable.filter(({ id, backoff }) => !request.tried.includes(id)
+    && mayProbe(backoff, now));
 };
 
 /**
- * Chooses a backend server, or none when no server may take the request.
+ * Chooses a backend server; undefined when no server is eligible.
  *
  * @example
  * const choice = chooseRoutedWorker(workers, request, clock.now());
@@ -154,12 +162,12 @@
   request: ChoiceRequest,
   now: number,
 ): WorkerChoice | undefined => {
-  const work = findServiceStats(workers, request.service);
+  const stats = findServiceStats(workers, request.service);
   const fastestMs = findFastestPace(workers, request.service);
   const scored = listCandidates(workers, request, now).map((worker) => {
-    const expected = estimateAnswer(workers, work, worker, request, fastestMs);
-    const { waitMs, ownMs } = expected;
-    const score = computeScore(workers, work, worker, expected, request);
+    const estimate = estimateAnswer(workers, stats, worker, request, fastestMs);
+    const { waitMs, ownMs } = estimate;
+    const score = computeScore(workers, stats, worker, estimate, request);
     return {
       worker, waitMs, ownMs, score,
     };
@@ -171,18 +179,18 @@
 };
 
 /**
- * How long a request may be expected to wait, as a part of its target latency, by rank: what ranks
- * lower yields earlier as a service fills up, so that the ranks above keep what is left. Only the
- * wait counts, not the request's own length: long requests are not turned away for being long.
+ * Longest expected wait of a request, as a share of its target latency, by rank: lower ranks yield
+ * earlier as a service fills up, so that higher ranks keep the remaining capacity. Only the wait
+ * counts, not the request's own length: long requests are not refused for being long.
  */
 const MAX_WAIT_SHARE_BY_RANK = [1.2, 1, 0.8];
 
 /**
- * Decides whether a request is worth being sent: one that would wait too long for its target is
- * refused at once, before a server spends work on it that another could use in time.
+ * Whether the expected wait of a request is short enough for its target. A request that would wait
+ * too long is refused at once, before a server spends work on it that another request could use.
  *
  * @example
- * if (!isWorthSending(choice, route.targetLatencyMs, rank)) refuse();
+ * if (!isWaitAcceptable(choice, route.targetLatencyMs, rank)) refuse();
  */
 export const isWaitAcceptable = (
   { waitMs }: Pick<WorkerChoice, 'waitMs'>,
--- a/src/core/routing/workerEligibility.ts
+++ b/src/core/routing/workerEligibility.ts
@@ -1,55 +1,56 @@
-/** Which backend servers of a service an entry leaves alone, by what they said in answers. */
+/** Which backend servers of a service an entry must avoid, according to their own answers. */
 import { isReady } from './routedWorkers';
 import type { RoutedWorker, RoutedWorkers } from './routedWorkers';
 import { countProbe, isBackingOff, mayProbe } from './workerBackoff';
 
-const listReady = ({ byService }: RoutedWorkers, service: string): RoutedWorker[] => (
+const listReadyWorkers = ({ byService }: RoutedWorkers, service: string): RoutedWorker[] => (
   (byService.get(service) ?? []).filter(isReady)
 );
 
 /**
- * Milliseconds until the first server of a service has had its rest; 0 where one that is ready does
- * not rest, or none is ready.
+ * Milliseconds until the first backoff of a service's ready servers ends; 0 when one of them is not
+ * backing off, or none is ready.
  *
  * @example
- * const restMs = readShortestRest(workers, 'rooms', clock.now());
+ * const backoffMs = computeShortestBackoffMs(workers, 'rooms', clock.now());
  */
 export const computeShortestBackoffMs = (
   workers: RoutedWorkers,
   service: string,
   now: number,
 ): number => {
-  const ready = listReady(workers, service);
+  const ready = listReadyWorkers(workers, service);
   if (ready.length === 0) return 0;
-  return Math.max(0, Math.min(...ready.map(({ backoff: rest }) => rest.until)) - now);
+  return Math.max(0, Math.min(...ready.map(({ backoff }) => backoff.until)) - now);
 };
 
 /**
- * Whether a server must get nothing of this entry: it leaves, or it rests.
+ * Whether this entry must not send requests to a server, because it is leaving or backing off.
  *
- * @param isServiceBackingOff whether no server of its service that is ready does without a rest
+ * @param isServiceBackingOff whether all ready servers of its service are backing off
  */
 const isAvoided = (
-  { isLeaving, backoff: rest }: RoutedWorker,
+  { isLeaving, backoff }: RoutedWorker,
   isServiceBackingOff: boolean,
   now: number,
-): boolean => isLeaving || (isBackingOff(rest, now) && !(isServiceBackingOff && mayProbe(rest, now)));
+): boolean => isLeaving
+  || (isBackingOff(backoff, now) && !(isServiceBackingOff && mayProbe(backoff, now)));
 
 /**
- * Whether a server may get a request of this entry.
+ * Whether this entry may send requests to a server.
  *
  * @example
- * if (!mayTake(workers, worker, clock.now())) askAgain();
+ * if (!isEligible(workers, worker, clock.now())) requestAnotherSlot();
  */
 export const isEligible = (workers: RoutedWorkers, worker: RoutedWorker, now: number): boolean => (
   !isAvoided(worker, computeShortestBackoffMs(workers, worker.service, now) > 0, now));
 
 /**
- * Lists servers of a service that must get nothing of this entry although control holds them ready:
- * those that rest, and those that leave.
+ * Lists the servers of a service that this entry must avoid although control reports them as ready:
+ * those that are backing off, and those that are leaving.
  *
  * @example
- * const avoided = listAvoided(workers, 'rooms', clock.now());
+ * const avoided = listAvoidedIds(workers, 'rooms', clock.now());
  */
 export const listAvoidedIds = (workers: RoutedWorkers, service: string, now: number): string[] => {
   const isServiceBackingOff = computeShortestBackoffMs(workers, service, now) > 0;
@@ -60,17 +61,17 @@
 };
 
 /**
- * Whether every server of a service that is ready must get nothing, as it rests.
+ * Whether all ready servers of a service are backing off and none of them may be probed.
  *
  * @example
- * if (holdsAllBack(workers, 'rooms', clock.now())) refuse('backendsResting');
+ * if (isServiceBlocked(workers, 'rooms', clock.now())) refuse('backendsResting');
  */
 export const isServiceBlocked = (workers: RoutedWorkers, service: string, now: number): boolean => (
   computeShortestBackoffMs(workers, service, now) > 0
-    && !listReady(workers, service).some(({ backoff: rest }) => mayProbe(rest, now))
+    && !listReadyWorkers(workers, service).some(({ backoff }) => mayProbe(backoff, now))
 );
 
-/** Counts a request that goes to a server, where the server rests. */
+/** Counts a request to a server as a probe if the server is backing off. */
 export const recordProbe = (worker: RoutedWorker, now: number): void => {
   if (isBackingOff(worker.backoff, now)) worker.backoff = countProbe(worker.backoff);
 };
--- a/src/core/routing/workerIncarnation.ts
+++ b/src/core/routing/workerIncarnation.ts
@@ -1,58 +1,63 @@
 /**
- * Which start of a backend server an announcement comes from.
+ * Which incarnation of a backend server an announcement comes from.
  *
- * A server may start again under the id that it had. It then knows nothing of before, and counts
- * its announcements anew; what the start before sent may still be on its way. A start is named by
- * the time of day at which it was born. Clocks jump, so a later start may have been born earlier by
- * its clock: the order of births alone does not decide.
+ * A server may restart under the same id. It then has no state from before and numbers its
+ * announcements from the beginning, while announcements of the earlier incarnation may still be in
+ * flight. An incarnation is identified by its start time, which is the time of day on the server's
+ * clock. Clocks jump, so a later incarnation may have an earlier start time: the order of start
+ * times alone does not decide.
  */
 import type { WorkerAnnouncement } from '../../protocol/generated/beechlift';
 
-/** Birth of a server that tells none. */
+/** Start time of a server that does not report one. */
 export const NO_START_TIME = 0;
 
-/** Starts that are remembered for each id; the oldest are forgotten beyond it. */
+/** Most earlier incarnations that are stored per id; older ones are dropped. */
 const MAX_SUPERSEDED = 8;
 
 /**
- * How long the known start must have been silent before one that was born earlier takes its place,
- * in milliseconds: two of the usual announcements of 1.2 s. What a cut held up arrives at once, and
- * the known start is heard before this is over.
+ * How long the known incarnation must have been silent before one with an earlier start time
+ * replaces it, in milliseconds: two of the usual announcement intervals of 1.2 s. Announcements
+ * delayed by a network partition arrive all at once, and the known incarnation announces itself
+ * again before this time is over.
  */
 const PROOF_WINDOW_MS = 2_500;
 
-/** How an announcement relates to the start that is known under its id. */
+/** Relation of an announcement to the known incarnation of its id. */
 export type IncarnationRelation = 'same' | 'newer' | 'older' | 'unproven';
 
-/** A start that was heard and may be newer than the known one, although it was born earlier. */
+/** An incarnation that may be newer than the known one although its start time is earlier. */
 export interface UnprovenIncarnation {
   readonly born: number;
   readonly sequence: number;
-  /** When it was first heard, monotonic milliseconds. */
+  /** When it was first seen, monotonic milliseconds. */
   readonly firstSeenAt: number;
 }
 
-/** What is known of the starts of one id. */
+/** The known incarnations of one id. */
 export interface KnownIncarnations {
-  /** Birth of the present start. */
+  /** Start time of the current incarnation. */
   readonly born: number;
-  /** Births of the starts before it, oldest first. */
+  /** Start times of earlier incarnations, oldest first. */
   readonly superseded: readonly number[];
 }
 
 type AnnouncedIncarnation = Pick<WorkerAnnouncement, 'born' | 'state'>;
 
 /**
- * Judges which start an announcement comes from.
+ * Determines which incarnation an announcement comes from.
  *
- * Guards a server that has started again against what its earlier start sent: a start that was
- * superseded stays so. One that tells its birth is not spoken for by an announcement without one,
- * but for a farewell, which may name no start.
+ * Protects a restarted server from announcements of its earlier incarnation: a superseded
+ * incarnation never becomes current again. An announcement without a start time does not apply to
+ * an incarnation that reports one, except a deregistration, which may lack the start time.
  *
  * @example
- * judgeStart({ born: 1_700, superseded: [] }, said); // 'newer' where it was born at 1_800
+ * compareIncarnation({ born: 1_700, superseded: [] }, announcement); // 'newer' if born at 1_800
  */
-export const compareIncarnation = (known: KnownIncarnations, { born, state }: AnnouncedIncarnation): IncarnationRelation => {
+export const compareIncarnation = (
+  known: KnownIncarnations,
+  { born, state }: AnnouncedIncarnation,
+): IncarnationRelation => {
   if (born === known.born) return 'same';
   if (born === NO_START_TIME) return state === 'gone' ? 'same' : 'older';
   if (known.superseded.includes(born)) return 'older';
@@ -60,7 +65,7 @@
 };
 
 /**
- * Adds a start to those that are over.
+ * Adds an incarnation to the superseded ones.
  *
  * @example
  * const superseded = addSuperseded(known.superseded, known.born);
@@ -71,13 +76,13 @@
 };
 
 /**
- * Whether a start that was born before the known one has proved to be the later one, as its
- * server's clock went back: it is heard again after a while, its count has grown, and the known
- * start has said nothing since.
+ * Whether an incarnation with an earlier start time than the known one has proved to be the later
+ * one, because the server's clock went back: it announces itself again after a while, its sequence
+ * number has grown, and the known incarnation has sent nothing since.
  *
- * @param knownSeenAt when the known start was last heard, monotonic milliseconds
+ * @param knownSeenAt when the known incarnation was last seen, monotonic milliseconds
  * @example
- * if (isProven(worker.unproven, said, worker.heardAt, now)) noteNewStart(table, worker, said, now);
+ * if (isProven(worker.unproven, announcement, worker.lastSeenAt, now)) replaceIncarnation(…);
  */
 export const isProven = (
   unproven: UnprovenIncarnation | undefined,
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -2,60 +2,62 @@
   WorkerAnnouncement, WorkerRecord,
 } from '../../protocol/generated/beechlift';
 import {
-  addSuperseded, isProven, compareIncarnation, NO_START_TIME,
+  addSuperseded, compareIncarnation, isProven, NO_START_TIME,
 } from './workerIncarnation';
 import type { IncarnationRelation, UnprovenIncarnation } from './workerIncarnation';
 
-/** Where a backend server stands: it takes work only when it is ready. */
+/** State of a backend server; only a ready one gets new requests. */
 export type WorkerStanding = 'ready' | 'draining' | 'gone' | 'silent';
 
-/** A backend server as the table knows it. */
+/** A backend server in the table. */
 export interface TrackedWorker {
   said: WorkerAnnouncement;
   standing: WorkerStanding;
-  /** When it was last heard, monotonic milliseconds. */
+  /** Time of its last announcement, monotonic milliseconds. */
   lastSeenAt: number;
-  /** The table's revision at which it last changed. */
+  /** Revision of the table at its last change. */
   revision: number;
-  /** When its present start was first heard, monotonic milliseconds. */
+  /** Time of the first announcement of its current incarnation, monotonic milliseconds. */
   readonly firstSeenAt: number;
-  /** Births of its earlier starts, oldest first. */
+  /** Start times of its earlier incarnations, oldest first. */
   superseded: readonly number[];
-  /** A start that may be the later one although it was born earlier. */
+  /** An incarnation that may be the later one although its start time is earlier. */
   unproven: UnprovenIncarnation | undefined;
 }
 
 /** All backend servers that have announced themselves. */
 export interface WorkerTable {
-  /** Names the table that revisions count in; another leader has another one. */
+  /** Identifies the table that revisions belong to; each leader has its own. */
   readonly epoch: string;
   revision: number;
   readonly workers: Map<string, TrackedWorker>;
-  /** Backend server that holds an address, by address. */
-  readonly idByAddress: Map<string, string>;
+  /** Id of the backend server that uses an address, by address. */
+  readonly ownerIds: Map<string, string>;
 }
 
 /**
- * Silence after which a backend server takes no more work, in milliseconds: four of the usual
- * announcements of 1.2 s, so that one which is late by a second or two is not taken for a death.
+ * Time without announcements after which a backend server gets no more requests, in milliseconds:
+ * four of the usual announcement intervals of 1.2 s, so that an announcement delayed by a second or
+ * two does not count as a failure.
  */
 export const WORKER_TIMEOUT_MS = 5_000;
 
-/** How long one that has left is remembered, so that a late announcement does not revive it. */
+/** How long a gone server is kept, so that a late announcement does not bring it back. */
 const GONE_RETENTION_MS = 300_000;
 
 /**
- * How long after a new start of a server a farewell that names no start may be the one before's, in
- * milliseconds: announcements come seconds late, and a server that has just started does not leave.
+ * How long after a restart a deregistration without a start time may belong to the earlier
+ * incarnation, in milliseconds: announcements can be seconds late, and a server that has just
+ * started does not leave.
  */
 const LATE_DEREGISTRATION_MS = 10_000;
 
-/** Bounds the table, the ones that left included. */
+/** Limit on the table's size, gone servers included. */
 const MAX_WORKERS = 20_000;
 
 /** Makes an empty table. */
 export const makeWorkerTable = (epoch: string): WorkerTable => ({
-  epoch, revision: 0, workers: new Map(), idByAddress: new Map(),
+  epoch, revision: 0, workers: new Map(), ownerIds: new Map(),
 });
 
 const setStanding = (table: WorkerTable, worker: TrackedWorker, standing: WorkerStanding): void => {
@@ -65,24 +67,24 @@
 };
 
 /*
- * Guards against an announcement that was on its way while its sender crashed and another server
- * took its address: the address belongs to the newcomer, and the one before stays gone for good.
+ * Handles an announcement that was in flight while its sender crashed and another server took its
+ * address: the address belongs to the new server, and the earlier owner stays gone for good.
  */
 const assignAddress = (table: WorkerTable, { workerId, address }: WorkerAnnouncement): void => {
-  const holder = table.idByAddress.get(address);
-  const before = holder === undefined ? undefined : table.workers.get(holder);
-  if (before && holder !== workerId && before.standing !== 'gone') {
-    setStanding(table, before, 'gone');
+  const ownerId = table.ownerIds.get(address);
+  const previousOwner = ownerId === undefined ? undefined : table.workers.get(ownerId);
+  if (previousOwner && ownerId !== workerId && previousOwner.standing !== 'gone') {
+    setStanding(table, previousOwner, 'gone');
   }
-  table.idByAddress.set(address, workerId);
+  table.ownerIds.set(address, workerId);
 };
 
 const makeTrackedWorker = (
-  said: WorkerAnnouncement,
+  announcement: WorkerAnnouncement,
   superseded: readonly number[],
   now: number,
 ): TrackedWorker => ({
-  said,
+  said: announcement,
   standing: 'ready',
   lastSeenAt: now,
   revision: 0,
@@ -93,76 +95,84 @@
 
 const addWorker = (
   table: WorkerTable,
-  said: WorkerAnnouncement,
+  announcement: WorkerAnnouncement,
   superseded: readonly number[],
   now: number,
 ): void => {
-  const worker = makeTrackedWorker(said, superseded, now);
-  table.workers.set(said.workerId, worker);
-  if (said.state !== 'gone') assignAddress(table, said);
-  setStanding(table, worker, said.state as WorkerStanding);
+  const worker = makeTrackedWorker(announcement, superseded, now);
+  table.workers.set(announcement.workerId, worker);
+  if (announcement.state !== 'gone') assignAddress(table, announcement);
+  setStanding(table, worker, announcement.state as WorkerStanding);
 };
 
-const isOlder = (said: WorkerAnnouncement, known: WorkerAnnouncement): boolean => (
-  said.state !== 'gone' && said.sequence < known.sequence
+const isOlder = (announcement: WorkerAnnouncement, known: WorkerAnnouncement): boolean => (
+  announcement.state !== 'gone' && announcement.sequence < known.sequence
 );
 
-const hasChanged = (worker: TrackedWorker, said: WorkerAnnouncement): boolean => {
-  const before = worker.said;
-  return worker.standing !== said.state
-    || before.address !== said.address
-    || before.slots !== said.slots
-    || before.service !== said.service
-    || (before.coldMs > 0) !== (said.coldMs > 0);
+const hasChanged = (worker: TrackedWorker, announcement: WorkerAnnouncement): boolean => {
+  const previous = worker.said;
+  return worker.standing !== announcement.state
+    || previous.address !== announcement.address
+    || previous.slots !== announcement.slots
+    || previous.service !== announcement.service
+    || (previous.coldMs > 0) !== (announcement.coldMs > 0);
 };
 
-/** Leaving is announced by name alone: what was said before still tells the address. */
-const mergeAnnouncement = (before: WorkerAnnouncement, said: WorkerAnnouncement): WorkerAnnouncement => (
-  said.state === 'gone' ? { ...before, born: said.born || before.born, state: 'gone' } : said
+/** Merges a deregistration, which holds only the id, into the previous announcement. */
+const mergeAnnouncement = (
+  previous: WorkerAnnouncement,
+  announcement: WorkerAnnouncement,
+): WorkerAnnouncement => (announcement.state === 'gone'
+  ? { ...previous, born: announcement.born || previous.born, state: 'gone' }
+  : announcement
 );
 
 /*
- * Guards a server that has just started again against a farewell of its start before, where the
- * farewell names none: no work goes there until it says again that it is ready, and it is not taken
- * out for good.
+ * Protects a server that has just restarted from a deregistration without a start time, which may
+ * belong to its earlier incarnation: the server gets no requests until it announces itself as ready
+ * again, but it is not removed for good.
  */
-const isAmbiguousDeregistration = (worker: TrackedWorker, said: WorkerAnnouncement, now: number): boolean => (
-  said.state === 'gone'
-  && said.born !== worker.said.born
+const isAmbiguousDeregistration = (
+  worker: TrackedWorker,
+  announcement: WorkerAnnouncement,
+  now: number,
+): boolean => (
+  announcement.state === 'gone'
+  && announcement.born !== worker.said.born
   && worker.superseded.length > 0
   && now - worker.firstSeenAt < LATE_DEREGISTRATION_MS
 );
 
 type IncarnationHandler = (
-  table: WorkerTable, worker: TrackedWorker, said: WorkerAnnouncement, now: number,
+  table: WorkerTable, worker: TrackedWorker, announcement: WorkerAnnouncement, now: number,
 ) => void;
 
-const applySameIncarnation: IncarnationHandler = (table, worker, said, now) => {
-  if (worker.standing === 'gone' || isOlder(said, worker.said)) return;
-  if (isAmbiguousDeregistration(worker, said, now)) {
+const applySameIncarnation: IncarnationHandler = (table, worker, announcement, now) => {
+  if (worker.standing === 'gone' || isOlder(announcement, worker.said)) return;
+  if (isAmbiguousDeregistration(worker, announcement, now)) {
     setStanding(table, worker, 'draining');
     return;
   }
   worker.lastSeenAt = now;
-  const changed = hasChanged(worker, said);
-  worker.said = mergeAnnouncement(worker.said, said);
-  if (changed) setStanding(table, worker, said.state as WorkerStanding);
+  const changed = hasChanged(worker, announcement);
+  worker.said = mergeAnnouncement(worker.said, announcement);
+  if (changed) setStanding(table, worker, announcement.state as WorkerStanding);
 };
 
-/** A new start takes over: all that was known of the one before is over with it. */
-const replaceIncarnation: IncarnationHandler = (table, worker, said, now) => {
+/** Replaces a worker by its new incarnation; nothing of the earlier one is kept. */
+const replaceIncarnation: IncarnationHandler = (table, worker, announcement, now) => {
   const { address, born } = worker.said;
-  if (table.idByAddress.get(address) === said.workerId) table.idByAddress.delete(address);
+  if (table.ownerIds.get(address) === announcement.workerId) table.ownerIds.delete(address);
   const superseded = addSuperseded(worker.superseded, born);
-  addWorker(table, mergeAnnouncement(worker.said, said), superseded, now);
+  addWorker(table, mergeAnnouncement(worker.said, announcement), superseded, now);
 };
 
-const applyUnprovenIncarnation: IncarnationHandler = (table, worker, said, now) => {
-  if (isProven(worker.unproven, said, worker.lastSeenAt, now)) {
-    replaceIncarnation(table, worker, said, now);
+const applyUnprovenIncarnation: IncarnationHandler = (table, worker, announcement, now) => {
+  if (isProven(worker.unproven, announcement, worker.lastSeenAt, now)) {
+    replaceIncarnation(table, worker, announcement, now);
     return;
   }
-  const { born, sequence } = said;
+  const { born, sequence } = announcement;
   const isNew = worker.unproven?.born !== born || worker.lastSeenAt >= worker.unproven.firstSeenAt;
   if (isNew) worker.unproven = { born, sequence, firstSeenAt: now };
 };
@@ -175,39 +185,39 @@
 };
 
 /**
- * Takes in what a backend server says of itself.
+ * Applies an announcement of a backend server.
  *
- * Guards against announcements that arrive late: one with a lower number than the newest of its
- * start, from a start that is over, or from a server that is gone, changes nothing.
+ * Ignores late announcements: those with a lower sequence number than the newest one of their
+ * incarnation, those of a superseded incarnation, and those of a server that is gone.
  *
  * @example
- * noteAnnouncement(table, announcement, clock.now());
+ * applyAnnouncement(table, announcement, clock.now());
  */
 export const applyAnnouncement = (
   table: WorkerTable,
-  said: WorkerAnnouncement,
+  announcement: WorkerAnnouncement,
   now: number,
 ): void => {
-  const worker = table.workers.get(said.workerId);
+  const worker = table.workers.get(announcement.workerId);
   if (worker) {
     const known = { born: worker.said.born, superseded: worker.superseded };
-    incarnationHandlers[compareIncarnation(known, said)](table, worker, said, now);
+    incarnationHandlers[compareIncarnation(known, announcement)](table, worker, announcement, now);
   } else if (table.workers.size < MAX_WORKERS) {
-    addWorker(table, said, [], now);
+    addWorker(table, announcement, [], now);
   }
 };
 
-/** Whether a record of another replica tells more than what is known here. */
-const isNewer = (known: TrackedWorker, said: WorkerAnnouncement): boolean => {
-  if (said.born === known.said.born) {
-    return known.standing !== 'gone' && known.said.sequence <= said.sequence;
+/** Whether a record of another replica is newer than the tracked worker. */
+const isNewer = (known: TrackedWorker, announcement: WorkerAnnouncement): boolean => {
+  if (announcement.born === known.said.born) {
+    return known.standing !== 'gone' && known.said.sequence <= announcement.sequence;
   }
-  return said.born !== NO_START_TIME && !known.superseded.includes(said.born);
+  return announcement.born !== NO_START_TIME && !known.superseded.includes(announcement.born);
 };
 
 /**
- * Whether a record that was remembered over a restart tells what a table lacks: a server that it
- * does not know, an end, or a later word of a start.
+ * Whether a record that was stored before a restart holds something that the table lacks: an
+ * unknown server, the fact that a server is gone, or a later announcement or incarnation.
  *
  * @example
  * const missing = records.filter((record) => needsRecord(table, record));
@@ -219,13 +229,16 @@
   if (!said) return false;
   const known = workers.get(said.workerId);
   if (!known) return true;
-  const relation = compareIncarnation({ born: known.said.born, superseded: known.superseded }, said);
+  const relation = compareIncarnation(
+    { born: known.said.born, superseded: known.superseded },
+    said,
+  );
   if (relation !== 'same') return relation === 'newer';
   return known.standing !== 'gone'
     && (standing === 'gone' || known.said.sequence < said.sequence);
 };
 
-/** Takes over a record that another replica's table held. */
+/** Adopts a record from another replica's table. */
 export const adoptRecord = (
   table: WorkerTable,
   { said, standing, supersededStarts }: WorkerRecord,
@@ -238,16 +251,16 @@
     return;
   }
   if (!known && table.workers.size >= MAX_WORKERS) return;
-  const before = known && known.said.born !== said.born ? [known.said.born] : [];
-  const superseded = [...known?.superseded ?? [], ...supersededStarts, ...before];
+  const previousStarts = known && known.said.born !== said.born ? [known.said.born] : [];
+  const superseded = [...known?.superseded ?? [], ...supersededStarts, ...previousStarts];
   const worker = makeTrackedWorker(said, superseded.reduce(addSuperseded, []), now);
   table.workers.set(said.workerId, worker);
-  if (standing !== 'gone') table.idByAddress.set(said.address, said.workerId);
+  if (standing !== 'gone') table.ownerIds.set(said.address, said.workerId);
   setStanding(table, worker, standing as WorkerStanding);
 };
 
 /**
- * Sets aside what has been silent for long, and forgets what left long ago.
+ * Marks servers as silent after their timeout, and removes those that are gone or silent for long.
  *
  * @example
  * expireWorkers(table, clock.now());
@@ -260,12 +273,12 @@
     }
     if (worker.standing === 'ready' || silentMs <= GONE_RETENTION_MS) return;
     table.workers.delete(id);
-    if (table.idByAddress.get(worker.said.address) === id) table.idByAddress.delete(worker.said.address);
+    if (table.ownerIds.get(worker.said.address) === id) table.ownerIds.delete(worker.said.address);
   });
 };
 
 /**
- * Counts backend servers by where they stand.
+ * Counts backend servers by standing.
  *
  * @example
  * const ready = countByStanding(table).get('ready') ?? 0;
@@ -278,7 +291,8 @@
 );
 
 /**
- * Lists what changed since a revision; all of it when the asker counts in another table.
+ * Lists the servers that changed since a revision, or all of them when the revision belongs to
+ * another table.
  *
  * @example
  * const records = listChangedWorkers(table, request.workersEpoch, request.workersRevision);
@@ -288,9 +302,9 @@
   epoch: string,
   revision: number,
 ): WorkerRecord[] => {
-  const since = epoch === table.epoch ? revision : 0;
+  const sinceRevision = epoch === table.epoch ? revision : 0;
   return [...table.workers.values()]
-    .filter((worker) => worker.revision > since)
+    .filter((worker) => worker.revision > sinceRevision)
     .map(({ said, standing, superseded }) => (
       { said, standing, supersededStarts: [...superseded] }));
 };
--- a/tests/core/worker-incarnations.spec.ts
+++ b/tests/core/worker-incarnations.spec.ts
@@ -36,7 +36,7 @@
     applyAnnouncement(table, say({ born: BIRTH + 5, address: '10.0.0.1:81' }), 10);
     expect(read(table)).toEqual([5, 'ready']);
     expect(listChangedWorkers(table, 'e', revision)).toHaveLength(1);
-    expect(table.idByAddress.has('10.0.0.1:80')).toBe(false);
+    expect(table.ownerIds.has('10.0.0.1:80')).toBe(false);
   });
 
   // The server had taken its leave, and was gone for good whatever it said after its next start.
--- a/tests/core/worker-table.spec.ts
+++ b/tests/core/worker-table.spec.ts
@@ -63,7 +63,7 @@
     applyAnnouncement(table, say({}), 0);
     applyAnnouncement(table, say({ state: 'gone' }), 1);
     expireWorkers(table, 400_000);
-    expect([table.workers.size, table.idByAddress.size]).toEqual([0, 0]);
+    expect([table.workers.size, table.ownerIds.size]).toEqual([0, 0]);
   });
 
   it('should list what changed since a revision, and all of it to who counts in another table', () => {
