--- a/tests/core/account-limits-large-sites.spec.ts
+++ b/tests/core/account-limits-large-sites.spec.ts
@@ -5,28 +5,28 @@
 import { makeAccount } from '../fakes/routings';
 
 /*
- * On grown sites 12,000 answers of a calm day were 429, plain calls among them that cost their
- * account next to nothing. Limits lent in ninety shares were the suspicion. They hold, and refuse
- * nothing that is within them, as long as the leader answers in time: it did not.
+ * On large sites, requests of accounts within their limits were refused with 429 because the leader
+ * answered late. These tests show that granting a limit in ninety shares is not the cause: as long
+ * as the leader answers in time, the limit holds and refuses nothing within it.
  */
 
 const ENTRIES = 90;
 const RATE = 112_000;
 const SLACK = 190_000;
 const WINDOW_MS = 8_000;
-/** How often an entry asks the leader, in milliseconds. */
+/** How often an entry contacts the leader, in milliseconds. */
 const ASK_MS = 200;
 const SECONDS = 20;
-/** What plain calls count for, and what model requests do, in tokens. */
+/** Cost of plain requests and of model requests, in tokens. */
 const SMALL = 200;
 const LARGE = 4_000;
 const account = makeAccount({ perSecond: RATE, burst: RATE });
-/** What may be used in any window, over all entries. */
+/** Most units that may be used in any window, over all entries. */
 const MOST = (RATE * (WINDOW_MS / 1_000) + RATE) * 1.1 + SLACK;
 
 interface Arrival { readonly at: number; readonly entry: number; readonly cost: number }
 
-/** Arrivals of one account at random entries; tokens beyond its limit are never asked for. */
+/** Draws arrivals of one account at random entries, none of them over its limit. */
 const drawWithinLimit = (
   seed: number,
   smallPerSecond: number,
@@ -51,42 +51,42 @@
     });
 };
 
-interface Played { readonly passed: Arrival[]; readonly refused: Arrival[] }
+interface SimulationResult { readonly admitted: Arrival[]; readonly refused: Arrival[] }
 
-/** Plays arrivals; small ones are decided at their entry, large ones by the leader. */
+/** Simulates arrivals; entries decide on small requests, and the leader on large ones. */
 const simulate = (
   arrivals: readonly Arrival[],
   isCut: (entry: number, at: number) => boolean,
-): Played => {
+): SimulationResult => {
   const ledger = new AccountLedger(SLACK);
   ledger.configure([account], 0);
   const entries = Array.from({ length: ENTRIES }, () => new AccountBudget());
-  const passed: Arrival[] = [];
+  const admitted: Arrival[] = [];
   const refused: Arrival[] = [];
-  const ask = (entry: AccountBudget, position: number, now: number): void => {
+  const requestGrants = (entry: AccountBudget, position: number, now: number): void => {
     if (isCut(position, now)) return;
     ledger.recordSpends(`e${position}`, entry.listSpends(now), now);
     entry.applyGrants(ledger.listGrants(`e${position}`, ENTRIES, now), now);
   };
-  // An entry serves from its first answer on.
-  entries.forEach((entry, position) => ask(entry, position, 0));
+  // An entry serves requests only after the leader's first reply.
+  entries.forEach((entry, position) => requestGrants(entry, position, 0));
   let next = 0;
   Array.from({ length: SECONDS * 1_000 }, (unused, now) => now).forEach((now) => {
     entries.forEach((entry, position) => {
-      if ((now + 2 * position) % ASK_MS === 0) ask(entry, position, now);
+      if ((now + 2 * position) % ASK_MS === 0) requestGrants(entry, position, now);
     });
     const due = arrivals.slice(next).findIndex(({ at }) => at > now);
     const end = due < 0 ? arrivals.length : next + due;
     arrivals.slice(next, end).forEach((arrival) => {
       const { entry, cost } = arrival;
-      const isPassed = cost === SMALL || isCut(entry, now)
+      const isAdmitted = cost === SMALL || isCut(entry, now)
         ? (entries[entry] as AccountBudget).trySpend(account, cost, now)
         : ledger.charge(account.name, cost, 0, now) === 0;
-      (isPassed ? passed : refused).push(arrival);
+      (isAdmitted ? admitted : refused).push(arrival);
     });
     next = end;
   });
-  return { passed, refused };
+  return { admitted, refused };
 };
 
 const findMostInWindow = (uses: readonly Arrival[]): number => uses.reduce((most, { at }) => {
@@ -96,12 +96,12 @@
 }, 0);
 
 describe('limits of accounts over ninety entries', () => {
-  it.each([1, 2, 3])('should refuse nothing of an account within its limit, play %i', (seed) => {
+  it.each([1, 2, 3])('should refuse nothing of an account within its limit, seed %i', (seed) => {
     const arrivals = drawWithinLimit(seed, 40, 24);
     expect(simulate(arrivals, () => false).refused).toEqual([]);
   });
 
-  it.each([1, 2, 3])('should refuse hardly anything of an account at its limit, %i', (seed) => {
+  it.each([1, 2, 3])('should refuse hardly anything of an account at its limit, seed %i', (seed) => {
     const arrivals = drawWithinLimit(seed, 40, 60);
     const { refused } = simulate(arrivals, () => false);
     expect(refused.length).toBeLessThanOrEqual(0.01 * arrivals.length);
@@ -114,7 +114,7 @@
       at: draw(SECONDS * 1_000 - 1), entry: draw(ENTRIES - 1), cost: draw(9) < 4 ? SMALL : LARGE,
     })).sort((a, b) => a.at - b.at);
     const isThird = (entry: number, at: number) => entry % 3 === 0 && at >= 6_000 && at < 12_000;
-    const { passed } = simulate(flood, isThird);
-    expect(findMostInWindow(passed)).toBeLessThanOrEqual(MOST);
+    const { admitted } = simulate(flood, isThird);
+    expect(findMostInWindow(admitted)).toBeLessThanOrEqual(MOST);
   });
 });
--- a/tests/core/account-limits.spec.ts
+++ b/tests/core/account-limits.spec.ts
@@ -9,7 +9,7 @@
 const SLACK = 190_000;
 const WINDOW_MS = 8_000;
 const account = makeAccount({ perSecond: RATE, burst: RATE });
-/** What may be used in any window, over all entries. */
+/** Most units that may be used in any window, over all entries. */
 const MOST = (RATE * (WINDOW_MS / 1_000) + RATE) * 1.1 + SLACK;
 
 interface Use { readonly at: number; readonly cost: number }
@@ -20,7 +20,7 @@
   return Math.max(most, sum);
 }, 0);
 
-/** Entries that are flooded; each asks the leader every 200 ms unless its link is cut. */
+/** Floods the entries; each contacts the leader every 200 ms unless it is cut off. */
 const flood = (costs: readonly number[], cutFrom: number): Use[] => {
   const ledger = new AccountLedger(SLACK);
   ledger.configure([account], 0);
@@ -43,8 +43,8 @@
 };
 
 describe('limits of accounts over all entries', () => {
-  // One account sends many times its usual to all entries at once, while some of them cannot reach
-  // the leader: together they must stay within the limit in every window.
+  // One account floods all entries at once while some of them cannot reach the leader. Together
+  // they must stay within the limit in every window.
   it('should hold in every window of a flood, with entries cut off', () => {
     fc.assert(fc.property(
       fc.array(fc.integer({ min: 50, max: 9_000 }), { minLength: 3, maxLength: 9 }),
@@ -55,7 +55,7 @@
     ), { numRuns: 30, seed: 7 });
   });
 
-  it('should give an account about all of its limit', () => {
+  it('should grant an account about its full limit', () => {
     const uses = flood([3_700], 0);
     const total = uses.reduce((sum, { cost }) => sum + cost, 0);
     expect(total).toBeGreaterThan(RATE * 20);
@@ -68,32 +68,32 @@
   });
 
   /*
-   * An account sends six times its usual. Its reports cost ten times what its tags do, and only
-   * what fitted whole was let through: tags used up each unit before a report could, and hardly a
-   * report of an account that pays for a fifth of what it sends was served.
+   * An account is far over its limit, and its large requests cost ten times as much as its small
+   * ones. If a request is only admitted when its full cost is available, the small ones use up each
+   * unit first and hardly any large one is served.
    */
-  it('should let large requests of an account beyond its limit through as often as small ones', () => {
+  it('should admit large requests of an account over its limit as often as small ones', () => {
     const ledger = new AccountLedger(SLACK);
     ledger.configure([account], 0);
-    const passed = { large: 0, small: 0 };
-    // In each 100 ms four small requests and one large: 4 times the limit.
+    const admitted = { large: 0, small: 0 };
+    // Every 100 ms four small requests and one large one: 4 times the limit.
     Array.from({ length: 400 }, (unused, step) => step * 100).forEach((now) => {
       Array.from({ length: 4 }, (unused, position) => now + position * 20).forEach((at) => {
-        passed.small += ledger.charge(account.name, 1_400, 0, at) === 0 ? 1 : 0;
+        admitted.small += ledger.charge(account.name, 1_400, 0, at) === 0 ? 1 : 0;
       });
-      passed.large += ledger.charge(account.name, 14_000, 0, now + 80) === 0 ? 1 : 0;
+      admitted.large += ledger.charge(account.name, 14_000, 0, now + 80) === 0 ? 1 : 0;
     });
-    expect(passed.large / 400).toBeGreaterThan(0.8 * (passed.small / 1_600));
-    expect(passed.large / 400).toBeLessThan(0.5);
+    expect(admitted.large / 400).toBeGreaterThan(0.8 * (admitted.small / 1_600));
+    expect(admitted.large / 400).toBeLessThan(0.5);
   });
 
-  /** Parts of the requests of each rank that pass, at some times the limit of the account. */
-  const countPassed = (costs: readonly number[], times: number): number[] => {
+  /** Share of admitted requests per rank, with a demand of some times the account's limit. */
+  const computeAdmittedShares = (costs: readonly number[], times: number): number[] => {
     const ledger = new AccountLedger(SLACK);
     ledger.configure([account], 0);
     const costOfAll = costs.reduce((sum, cost) => sum + cost, 0);
     const gapMs = (1_000 * costOfAll) / (times * RATE);
-    const passed = costs.map(() => 0);
+    const admitted = costs.map(() => 0);
     const rounds = 400;
     const spanMs = rounds * gapMs;
     const generator = prand.xoroshiro128plus(7);
@@ -103,40 +103,40 @@
       .flat()
       .sort((a, b) => a.at - b.at)
       .forEach(({ cost, rank, at }) => {
-        const isPassed = ledger.charge(account.name, cost, rank, at) === 0;
-        passed[rank] = (passed[rank] ?? 0) + (isPassed ? 1 : 0);
+        const isAdmitted = ledger.charge(account.name, cost, rank, at) === 0;
+        admitted[rank] = (admitted[rank] ?? 0) + (isAdmitted ? 1 : 0);
       });
-    return passed.map((count) => count / rounds);
+    return admitted.map((count) => count / rounds);
   };
 
   /*
-   * An account sends six times its usual, three times its limit. By order of arrival a third of its
-   * units went to short tags of the lowest rank, and two of three reports were refused that its
-   * owner would have had in their place.
+   * An account sends three times its limit. In order of arrival, a third of its units go to short
+   * requests of the lowest rank, and two of three requests of the highest rank are refused although
+   * the account's owner would prefer them.
    */
-  it('should keep units of an account beyond its limit for its higher ranks', () => {
-    const [reports = 0, captions = 0, tags = 1] = countPassed([7_000, 900, 3_400], 3);
+  it('should reserve units of an account over its limit for its higher ranks', () => {
+    const [reports = 0, captions = 0, tags = 1] = computeAdmittedShares([7_000, 900, 3_400], 3);
     expect(tags).toBeLessThan(0.1);
     expect(reports).toBeGreaterThan(0.5);
     expect(captions).toBeLessThan(0.1);
   });
 
-  it('should leave the lowest rank what the ranks above it do not ask for', () => {
-    const [reports, , tags = 0] = countPassed([1_000, 1_000, 2_000], 1.25);
+  it('should leave the lowest rank the units that higher ranks do not request', () => {
+    const [reports, , tags = 0] = computeAdmittedShares([1_000, 1_000, 2_000], 1.25);
     expect(reports).toBe(1);
     expect(tags).toBeGreaterThan(0.5);
   });
 
-  it('should hold nothing back while the limit carries all that is asked for', () => {
-    expect(countPassed([7_000, 900, 3_400], 0.8)).toEqual([1, 1, 1]);
+  it('should reserve nothing while the limit covers the whole demand', () => {
+    expect(computeAdmittedShares([7_000, 900, 3_400], 0.8)).toEqual([1, 1, 1]);
   });
 
-  it('should hold nothing back where all requests have one rank', () => {
-    const [all = 0] = countPassed([2_000], 2);
+  it('should reserve nothing when all requests have the same rank', () => {
+    const [all = 0] = computeAdmittedShares([2_000], 2);
     expect(all).toBeGreaterThan(0.45);
   });
 
-  it('should say when a refused request may come back', () => {
+  it('should return when a refused request may be retried', () => {
     const ledger = new AccountLedger(SLACK);
     ledger.configure([account], 0);
     const waits = Array.from({ length: 100 }, () => ledger.charge(account.name, 10_000, 0, 0));
@@ -146,10 +146,10 @@
   });
 
   /*
-   * A stream broke off at its server, and its second try was refused as beyond the limit of its
-   * account, which others had used up meanwhile: it had been charged with its first try.
+   * A stream breaks off at its server and is retried. It was charged at the first attempt, so the
+   * retry must not be refused when other requests have used up the account's limit meanwhile.
    */
-  it('should not refuse a second try, which costs nothing any more', () => {
+  it('should not refuse a retry, which costs nothing', () => {
     const ledger = new AccountLedger(0);
     ledger.configure([account], 0);
     expect(ledger.charge(account.name, RATE, 0, 0)).toBe(0);
@@ -159,7 +159,7 @@
     expect(ledger.charge(account.name, 0, 0, 0)).toBe(0);
   });
 
-  it('should charge nothing for what is refused afterwards', () => {
+  it('should charge nothing for a request that is refused later', () => {
     const ledger = new AccountLedger(0);
     ledger.configure([account], 0);
     expect(ledger.charge(account.name, RATE, 0, 0)).toBe(0);
@@ -167,9 +167,9 @@
     expect(ledger.charge(account.name, RATE, 0, 0)).toBe(0);
   });
 
-  // A report is lost on its way; the next one carries the total, so nothing is counted twice or
-  // forgotten. A leader that has just taken over does not charge what was used before.
-  it('should count totals, whatever reports were lost', () => {
+  // A report is lost; the next one carries the total, so nothing is counted twice or missed. A new
+  // leader does not charge what was used before its time.
+  it('should count totals correctly despite lost reports', () => {
     const ledger = new AccountLedger(0);
     ledger.configure([account], 0);
     ledger.recordSpends('e1', [{ account: 'lobby', total: 900_000, demand: 1 }], 0);
--- a/tests/core/answer-time.spec.ts
+++ b/tests/core/answer-time.spec.ts
@@ -22,7 +22,7 @@
   return worker;
 };
 
-const learnStreams = (workers: RoutedWorkers, id = 'fast'): void => {
+const recordStreams = (workers: RoutedWorkers, id = 'fast'): void => {
   const worker = findWorker(workers, id);
   recordPace(worker, 10);
   Array.from({ length: 20 }, (unused, position) => 100 + 10 * position).forEach((tokens) => {
@@ -36,19 +36,19 @@
   });
 };
 
-describe('time that an answer needs', () => {
-  it('should allow a stream for the most tokens that it may have', () => {
+describe('estimated time of an answer', () => {
+  it('should estimate a stream with the most tokens that it may have', () => {
     const workers = makeWorkers();
-    learnStreams(workers);
+    recordStreams(workers);
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
     expect(canFinishWithin(workers, size, 4_500)).toBe(true);
     expect(canFinishWithin(workers, size, 3_500)).toBe(false);
     expect(canFinishWithin(workers, { ...size, outputTokens: 100 }, 3_500)).toBe(true);
   });
 
-  it('should count how slow a backend server is', () => {
+  it('should include the slowness of the backend server', () => {
     const workers = makeWorkers();
-    learnStreams(workers);
+    recordStreams(workers);
     recordPace(findWorker(workers, 'slow'), 30);
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
     expect(canFinishWithin(workers, size, 4_500, findWorker(workers, 'fast'))).toBe(true);
@@ -56,8 +56,8 @@
   });
 
   /*
-   * Guards streams of a service that gives whole answers too: the time of a whole answer counted as
-   * that of one event, so that the server seemed slow, and what its streams take was divided by it.
+   * A service may give both whole answers and streams. If the time of a whole answer counts as that
+   * of one stream event, the server seems slow and the times of its streams are divided by that.
    */
   it('should not depend on whole answers of the same service', () => {
     const workers = makeWorkers();
@@ -65,13 +65,13 @@
     Array.from({ length: 20 }, () => recordAnswer(workers, findWorker(workers, 'slow'), {
       holdMs: 1_500, paceMs: 1_500, firstEvent: undefined, output: undefined, failed: false,
     }));
-    learnStreams(workers, 'slow');
+    recordStreams(workers, 'slow');
     const size = { service: SERVICE, promptTokens: 1_000, outputTokens: 300 };
     expect(canFinishWithin(workers, size, 1_500)).toBe(false);
     expect(canFinishWithin(workers, size, 1_500, findWorker(workers, 'fast'))).toBe(false);
   });
 
-  it('should promise nothing while too little is known', () => {
+  it('should return false while there are too few samples', () => {
     const size = { service: SERVICE, promptTokens: 10, outputTokens: 10 };
     expect(canFinishWithin(makeWorkers(), size, 60_000)).toBe(false);
   });
--- a/tests/core/connection-share.spec.ts
+++ b/tests/core/connection-share.spec.ts
@@ -18,7 +18,7 @@
   return workers;
 };
 
-/** Sends as many requests as find a server; returns how many each server has then. */
+/** Sends requests while a server is available; returns the open requests of each server. */
 const fill = (workers: RoutedWorkers, requests: number): number[] => {
   Array.from({ length: requests }).forEach(() => {
     const choice = chooseRoutedWorker(workers, {
@@ -31,8 +31,8 @@
 
 describe('connections to a server', () => {
   /*
-   * In a burst a server resets connections, and requests that it had taken break off. It takes 24
-   * connections from all entries together, and each of the eight entries opened what it liked.
+   * A server resets connections beyond its limit, and the requests on them break off. This happens
+   * in a burst if each entry opens as many connections as it needs.
    */
   it('should stay within the share of the entry', () => {
     const workers = makeWorkers(2);
@@ -40,7 +40,7 @@
     expect(fill(workers, 20)).toEqual([3, 3]);
   });
 
-  it('should be one at least, and unbounded where the service sets no bound', () => {
+  it('should be at least one, and unlimited when the service has no limit', () => {
     const workers = makeWorkers(1);
     setConnectionShares(workers, [{ name: 'rooms', maxConnections: 4 }], 100);
     expect(fill(workers, 5)).toEqual([1]);
--- a/tests/core/crash-table.spec.ts
+++ b/tests/core/crash-table.spec.ts
@@ -9,7 +9,7 @@
 const MINUTE_MS = 60_000;
 const FATAL = 'fatal';
 
-/** A table under a clock of the test. */
+/** A crash table with a simulated clock. */
 class TableRig {
   now = 0;
 
@@ -17,9 +17,9 @@
 
   private starts = 0;
 
-  /** Lets servers end together, each under its requests, and judges once that is no longer news. */
-  end(...underEach: readonly (readonly string[])[]): StageChange[] {
-    underEach.forEach((fingerprints) => {
+  /** Crashes servers together, each under its requests, and evaluates after the group's window. */
+  crash(...requestsPerServer: readonly (readonly string[])[]): StageChange[] {
+    requestsPerServer.forEach((fingerprints) => {
       this.starts += 1;
       fingerprints.forEach((fingerprint) => (
         recordCrash(this.table, fingerprint, `s${this.starts}`, this.now, this.now)));
@@ -36,7 +36,7 @@
     return findStage(this.table, fingerprint, this.now);
   }
 
-  /** Lets a leader take over that knows what entries are told. */
+  /** Replaces the leader by one that knows only the published list. */
   changeLeader(): void {
     const records = listSuspects(this.table, this.now);
     this.table = makeCrashTable();
@@ -44,56 +44,56 @@
   }
 }
 
-const list = (count: number, prefix: string): string[] => (
+const listNames = (count: number, prefix: string): string[] => (
   Array.from({ length: count }, (unused, position) => `${prefix}${position}`));
 
-describe('the table of requests under which servers ended', () => {
-  it('should watch a request after two ends and refuse it after three, and nobody beside it', () => {
+describe('table of requests under which servers crashed', () => {
+  it('should watch a request after two crashes and refuse it after three, and no other request', () => {
     const rig = new TableRig();
-    rig.end([FATAL, ...list(6, 'a')]);
+    rig.crash([FATAL, ...listNames(6, 'a')]);
     expect(rig.read(FATAL)).toBe('noted');
-    rig.end([FATAL, 'a0', ...list(5, 'b')]);
+    rig.crash([FATAL, 'a0', ...listNames(5, 'b')]);
     expect([rig.read(FATAL), rig.read('a0'), rig.read('b0')]).toEqual(['watched', 'watched', 'noted']);
-    const changes = rig.end([FATAL, 'b0', ...list(5, 'c')]);
+    const changes = rig.crash([FATAL, 'b0', ...listNames(5, 'c')]);
     expect(changes.filter(({ kind }) => kind === 'refused').map(({ suspect }) => suspect.fingerprint))
       .toEqual([FATAL]);
     expect(['a0', 'b0', 'c0'].map((name) => rig.read(name))).toEqual(['watched', 'watched', 'noted']);
   });
 
-  // Guards long requests, repeated each time a rack fails, against being taken for the cause.
-  it('should refuse none of the honest requests of a rack that fails three times', () => {
+  // Long requests, retried after each failure of a rack, must not be taken for its cause.
+  it('should refuse no innocent request of a rack that fails three times', () => {
     const rig = new TableRig();
-    const underEach = Array.from({ length: 4 }, (unused, server) => list(20, `${server}-`));
+    const requestsPerServer = Array.from({ length: 4 }, (unused, server) => listNames(20, `${server}-`));
     const stages = [1, 2, 3].flatMap(() => {
-      rig.end(...underEach);
+      rig.crash(...requestsPerServer);
       rig.now += MINUTE_MS;
-      return underEach.flat().map((name) => rig.read(name));
+      return requestsPerServer.flat().map((name) => rig.read(name));
     });
     expect(stages.filter((stage) => stage !== 'noted')).toHaveLength(0);
   });
 
-  // Guards a popular request, which is under every server when a rack fails, against the same.
-  it('should refuse nobody for one moment, and clear a popular request that is served', () => {
+  // A frequent request is open at every server when a rack fails, but it is not the cause.
+  it('should refuse no request for one crash group, and clear a frequent request that is served', () => {
     const rig = new TableRig();
-    rig.end(['popular'], ['popular'], ['popular'], ['popular']);
+    rig.crash(['popular'], ['popular'], ['popular'], ['popular']);
     expect(rig.read('popular')).toBe('watched');
     recordServed(rig.table, 'popular', rig.now);
     expect(rig.read('popular')).toBe('noted');
   });
 
-  // Guards against copies that run at the same time, and would end all servers for one of three.
-  it('should count each server that ends under copies of one request', () => {
+  // Copies that run at the same time must not count as a single crash, or all servers could crash.
+  it('should count each server that crashes under copies of one request', () => {
     const rig = new TableRig();
-    rig.end([FATAL, 'a'], [FATAL, 'b'], [FATAL, 'c']);
+    rig.crash([FATAL, 'a'], [FATAL, 'b'], [FATAL, 'c']);
     expect(['a', 'b', 'c'].map((name) => rig.read(name))).toEqual(['noted', 'noted', 'noted']);
-    rig.end([FATAL]);
+    rig.crash([FATAL]);
     expect(rig.read(FATAL)).toBe('refused');
   });
 
-  it('should wait until it is known which servers ended together', () => {
+  it('should wait until it is known which servers crashed together', () => {
     const rig = new TableRig();
-    rig.end([FATAL]);
-    rig.end([FATAL]);
+    rig.crash([FATAL]);
+    rig.crash([FATAL]);
     recordCrash(rig.table, FATAL, 'late1', rig.now, rig.now);
     expect(hasUnsettledCrash(rig.table, FATAL)).toBe(true);
     recordCrash(rig.table, 'other', 'late2', rig.now + CRASH_GROUP_WINDOW_MS / 2, rig.now);
@@ -102,7 +102,7 @@
     expect(rig.read(FATAL)).toBe('watched');
   });
 
-  it('should count one end however often it is told', () => {
+  it('should count a crash once however often it is reported', () => {
     const rig = new TableRig();
     [1, 2, 3].forEach(() => {
       recordCrash(rig.table, FATAL, 's1', 0, rig.now);
@@ -113,65 +113,65 @@
 
   it('should clear a request that is served', () => {
     const rig = new TableRig();
-    rig.end(['a']);
-    rig.end(['a']);
+    rig.crash(['a']);
+    rig.crash(['a']);
     expect(recordServed(rig.table, 'a', rig.now).map(({ kind }) => kind)).toEqual(['cleared']);
-    rig.end(['a']);
+    rig.crash(['a']);
     expect(rig.read('a')).toBe('noted');
   });
 
-  // Guards a request whose connections were cut, by a network or a proxy, while its servers live.
-  it('should take an end back when its server goes on announcing itself, not by late news', () => {
+  // Connections may be cut by the network or a proxy while the servers are still running.
+  it('should withdraw a crash when its server goes on announcing itself, not for late announcements', () => {
     const rig = new TableRig();
-    rig.end(['a']);
-    rig.end(['a']);
-    rig.end(['a']);
-    const sayAlive = (server: string, ...sequences: number[]) => sequences.forEach((sequence) => {
+    rig.crash(['a']);
+    rig.crash(['a']);
+    rig.crash(['a']);
+    const announce = (server: string, ...sequences: number[]) => sequences.forEach((sequence) => {
       recordAnnouncement(rig.table, server, sequence, rig.now);
     });
-    sayAlive('s3', 1, 2, 3);
+    announce('s3', 1, 2, 3);
     rig.now += 1_000;
-    sayAlive('s3', 4, 4, 4, 5);
+    announce('s3', 4, 4, 4, 5);
     expect(rig.read('a')).toBe('refused');
-    sayAlive('s3', 6);
+    announce('s3', 6);
     expect(rig.read('a')).toBe('watched');
-    sayAlive('s2', 1, 2, 3);
-    sayAlive('s1', 1, 2, 3);
+    announce('s2', 1, 2, 3);
+    announce('s1', 1, 2, 3);
     expect(rig.table.suspects.size).toBe(0);
   });
 
-  it('should let it be tried after a time, and refuse it for longer after one more end', () => {
+  it('should allow a request again after a time, and refuse it for longer after one more crash', () => {
     const rig = new TableRig();
-    [1, 2, 3].forEach(() => rig.end([FATAL]));
+    [1, 2, 3].forEach(() => rig.crash([FATAL]));
     rig.now += MINUTE_MS;
     expect(rig.read(FATAL)).toBe('watched');
-    rig.end([FATAL]);
+    rig.crash([FATAL]);
     rig.now += 3 * MINUTE_MS;
     expect(rig.read(FATAL)).toBe('refused');
     rig.now += MINUTE_MS;
     expect(rig.read(FATAL)).toBe('watched');
   });
 
-  // Guards servers against a flood of requests by which the one that ends them is forgotten.
-  it('should keep what is refused when other requests flood the table', () => {
+  // A flood of other suspects must not evict the request that crashes servers.
+  it('should keep refused requests when other requests flood the table', () => {
     const rig = new TableRig();
-    [1, 2, 3].forEach(() => rig.end([FATAL]));
-    list(40, 'flood').forEach((prefix) => rig.end(list(256, `${prefix}-`)));
+    [1, 2, 3].forEach(() => rig.crash([FATAL]));
+    listNames(40, 'flood').forEach((prefix) => rig.crash(listNames(256, `${prefix}-`)));
     expect(rig.table.suspects.size).toBeLessThanOrEqual(4_096);
     expect(rig.read(FATAL)).toBe('refused');
   });
 
-  it('should bound the ends that it keeps', () => {
+  it('should limit the crashes that it keeps', () => {
     const rig = new TableRig();
-    list(5_000, 'a').forEach((name) => rig.end([name]));
+    listNames(5_000, 'a').forEach((name) => rig.crash([name]));
     expect(rig.table.groupsByServer.size).toBeLessThanOrEqual(4_096);
   });
 
-  // Guards against entries that go on watching a request which the leader has forgotten.
-  it('should forget what nothing is heard against for long, and tell so', () => {
+  // Entries must not go on watching a request that the leader no longer lists.
+  it('should remove suspects without recent evidence, and report it', () => {
     const rig = new TableRig();
-    rig.end(['a', 'b']);
-    rig.end(['a']);
+    rig.crash(['a', 'b']);
+    rig.crash(['a']);
     const { revision } = rig.table;
     rig.now += 11 * MINUTE_MS;
     const changes = expireSuspects(rig.table, rig.now);
@@ -180,16 +180,16 @@
     expect(rig.table.suspects.size + rig.table.groupsByServer.size).toBe(0);
   });
 
-  // Guards against a change of leaders that gives a request three more servers to end.
-  it('should go on where the leader before was, and count no end twice', () => {
+  // After a change of leader, a request must not be able to crash three more servers.
+  it('should continue from the state of the earlier leader, and count no crash twice', () => {
     const rig = new TableRig();
-    rig.end([FATAL]);
-    rig.end([FATAL]);
+    rig.crash([FATAL]);
+    rig.crash([FATAL]);
     rig.changeLeader();
     ['s1', 's2'].forEach((server) => recordCrash(rig.table, FATAL, server, 0, rig.now));
     rig.settle();
     expect(rig.read(FATAL)).toBe('watched');
-    rig.end([FATAL]);
+    rig.crash([FATAL]);
     expect(rig.read(FATAL)).toBe('refused');
     rig.changeLeader();
     expect(rig.read(FATAL)).toBe('refused');
--- a/tests/core/mechanisms.spec.ts
+++ b/tests/core/mechanisms.spec.ts
@@ -16,7 +16,7 @@
 
 const NOW = 1_000;
 
-const makeAsk = (id: string, fields: Partial<SlotRequest> = {}): SlotRequest => ({
+const makeRequest = (id: string, fields: Partial<SlotRequest> = {}): SlotRequest => ({
   id,
   entryId: 'e1',
   service: 'lm',
@@ -31,7 +31,7 @@
   ...fields,
 });
 
-/** Two servers, of which the first is in another zone, and one server of the second kind. */
+/** Makes two servers, of which the first is in another availability zone than the requests. */
 const makeTables = (off: readonly Mechanism[], slots = 4): PlacementTables => {
   const workers = makeRoutedWorkers(makeMechanisms(off));
   applyRecords(workers, ['a', 'b'].map((zone) => WorkerRecord.fromPartial({
@@ -47,13 +47,13 @@
   workers.byId.get(id) as RoutedWorker);
 
 const chooseId = (tables: PlacementTables, fields: Partial<SlotRequest> = {}): string => {
-  const ask = makeAsk('r', fields);
+  const ask = makeRequest('r', fields);
   return chooseRoutedWorker(tables.workers, {
     ...ask, remainingMs: ask.deadlineAt - NOW, requiresFreeSlot: false,
   }, NOW)?.worker.id ?? '';
 };
 
-const learnFailures = (tables: PlacementTables, id: string): void => {
+const recordFailures = (tables: PlacementTables, id: string): void => {
   Array.from({ length: 10 }).forEach(() => {
     recordAnswer(tables.workers, findWorker(tables, id), {
       holdMs: 0, paceMs: 0, firstEvent: undefined, output: undefined, failed: true,
@@ -64,7 +64,7 @@
   });
 };
 
-/** What is decided with all mechanisms and without one, in a case that it is there for. */
+/** Expected decisions with and without a mechanism, in a situation that it is meant for. */
 interface Case {
   readonly decide: (tables: PlacementTables) => unknown;
   readonly slots?: number;
@@ -76,7 +76,7 @@
   zoneAffinity: { decide: (tables) => chooseId(tables), on: 'w-b', off: 'w-a' },
   failureWeight: {
     decide: (tables) => {
-      learnFailures(tables, 'w-b');
+      recordFailures(tables, 'w-b');
       return chooseId(tables);
     },
     on: 'w-a',
@@ -119,16 +119,16 @@
   },
   higherRanks: {
     decide: (tables) => {
-      const fresh = estimateWaitMs(tables, makeAsk('r', { rank: 2 }), NOW);
-      requestSlots(tables, Array.from({ length: 6 }, (unused, count) => makeAsk(`r${count}`)), NOW);
-      return estimateWaitMs(tables, makeAsk('r', { rank: 2 }), NOW) > fresh;
+      const fresh = estimateWaitMs(tables, makeRequest('r', { rank: 2 }), NOW);
+      requestSlots(tables, Array.from({ length: 6 }, (unused, count) => makeRequest(`r${count}`)), NOW);
+      return estimateWaitMs(tables, makeRequest('r', { rank: 2 }), NOW) > fresh;
     },
     on: true,
     off: false,
   },
   patienceByRank: {
-    decide: (tables) => computeMaxWaitMs(tables, makeAsk('r', { rank: 2 }))
-      < computeMaxWaitMs(tables, makeAsk('r')),
+    decide: (tables) => computeMaxWaitMs(tables, makeRequest('r', { rank: 2 }))
+      < computeMaxWaitMs(tables, makeRequest('r')),
     on: true,
     off: false,
   },
@@ -136,7 +136,7 @@
     decide: (tables) => {
       const lengths = [100, 100, 900, 10];
       requestSlots(tables, lengths.map((outputTokens, position) => (
-        makeAsk(`r${position}`, { outputTokens }))), NOW);
+        makeRequest(`r${position}`, { outputTokens }))), NOW);
       applyPlacementUpdate(tables, {
         id: 'r0', phase: 'dropped', paceMs: 0, firstEventMs: 0, outputMs: 0,
       }, NOW);
@@ -149,7 +149,7 @@
   earlyRefusal: {
     decide: (tables) => requestSlots(
       tables,
-      Array.from({ length: 30 }, (unused, count) => makeAsk(`r${count}`)),
+      Array.from({ length: 30 }, (unused, count) => makeRequest(`r${count}`)),
       NOW,
     ).some(({ kind }) => kind === 'refuse'),
     slots: 1,
@@ -158,11 +158,11 @@
   },
 };
 
-/** Switched at an entry; `entry-mechanisms.spec.ts` has their cases. */
+/** Mechanisms of entries; `entry-mechanisms.spec.ts` has their cases. */
 const AT_ENTRIES: readonly Mechanism[] = ['silence', 'leaderPlacing', 'resumption', 'leaseWait'];
 
 describe('mechanisms that can be switched off', () => {
-  it.each(Object.entries(cases))('should decide otherwise without %s, in the case it is there for', (name, one) => {
+  it.each(Object.entries(cases))('should decide differently without %s, in a case that it is meant for', (name, one) => {
     expect(one.decide(makeTables([], one.slots))).toEqual(one.on);
     expect(one.decide(makeTables([name as Mechanism], one.slots))).toEqual(one.off);
   });
@@ -171,7 +171,7 @@
     expect([...Object.keys(cases), ...AT_ENTRIES].sort()).toEqual([...MECHANISMS].sort());
   });
 
-  it('should be on where settings name none, and refuse an unknown name', () => {
+  it('should all be on by default, and an unknown name should be rejected', () => {
     const settings = {
       name: 'n', zone: 'a', ip: '10.0.0.1', seeds: '10.0.0.2:1', internalPorts: '1,2', directoryAddress: 'x', callerAddress: 'x', readinessAddress: 'x', graceSeconds: 1, retryRatio: 0.2, retrySlack: 5, retryWindowSeconds: 10,
     };
--- a/tests/core/placement-workloads.spec.ts
+++ b/tests/core/placement-workloads.spec.ts
@@ -3,12 +3,12 @@
 import { PlacementModel } from './placementModel';
 import type { ModelKind, ModelWorkload } from './placementModel';
 
-/** Milliseconds that a kind holds a slot of an engine of slowness 1, about. */
+/** Approximate milliseconds that a kind of request holds a slot of an engine of slowness 1. */
 const computeHoldMs = ({ promptTokens, outputTokens }: ModelKind): number => (
   30 + 0.01 * promptTokens + 4 * outputTokens
 );
 
-const kindShape = fc.record({
+const kindShapes = fc.record({
   rank: fc.nat({ max: 2 }),
   share: fc.integer({ min: 1, max: 10 }),
   promptTokens: fc.integer({ min: 20, max: 8_000 }),
@@ -16,11 +16,11 @@
   targetMs: fc.integer({ min: 100, max: 5_000 }),
 });
 
-/** Sheets that the core was not made on: other engines, kinds, targets and loads. */
-const sheets = fc.record({
+/** Workloads that the placement was not tuned for: other engines, kinds, targets and loads. */
+const workloads = fc.record({
   slots: fc.integer({ min: 2, max: 40 }),
   slowness: fc.array(fc.integer({ min: 1, max: 8 }), { minLength: 1, maxLength: 6 }),
-  shapes: fc.array(kindShape, { minLength: 1, maxLength: 6 }),
+  shapes: fc.array(kindShapes, { minLength: 1, maxLength: 6 }),
   load: fc.double({ min: 0.3, max: 4, noNaN: true }),
 }).map(({
   slots, slowness, shapes, load,
@@ -46,11 +46,11 @@
   };
 });
 
-describe('the decision core on sheets that it was not made on', () => {
-  it('should keep its order, fill its slots and decide on every request', () => {
-    fc.assert(fc.property(sheets, fc.nat({ max: 1_000 }), (sheet, seed) => {
-      const outcome = new PlacementModel(sheet, seed).run();
-      const longestTargetMs = Math.max(...sheet.kinds.map(({ targetMs }) => targetMs));
+describe('placement under workloads that it was not tuned for', () => {
+  it('should keep the order, fill all slots and decide on every request', () => {
+    fc.assert(fc.property(workloads, fc.nat({ max: 1_000 }), (workload, seed) => {
+      const outcome = new PlacementModel(workload, seed).run();
+      const longestTargetMs = Math.max(...workload.kinds.map(({ targetMs }) => targetMs));
       expect({
         overfilled: outcome.overfilled,
         idleWhileWaiting: outcome.idleWhileWaiting,
@@ -65,7 +65,7 @@
     }), { numRuns: 60, seed: 11 });
   }, 60_000);
 
-  // The restorers' mix at up to twice what eight engines of speeds 1 to 5 carry: reports go first.
+  // Up to twice the capacity of eight engines of slowness 1 to 5: the highest rank goes first.
   it('should serve higher ranks more fully than lower ones when engines are full', () => {
     const makeKind = (rank: number, worth: number): ModelKind => ({
       rank,
--- a/tests/core/routing-document.spec.ts
+++ b/tests/core/routing-document.spec.ts
@@ -4,7 +4,7 @@
 import { checkRouting } from '../../src/manifest/checkRouting';
 import { makeAccount, makeRoute, makeRouting } from '../fakes/routings';
 
-describe('the table of routes', () => {
+describe('route table', () => {
   const routing = makeRouting({
     routes: [
       makeRoute({ name: 'all', pathPrefix: '/' }),
@@ -33,14 +33,14 @@
     expect(table.findRoute(host, target)).toBeUndefined();
   });
 
-  it('should let the routes decide the rank where all accounts have the same', () => {
+  it('should rank by route when all accounts have the same rank', () => {
     const account = makeAccount({ rank: 1 });
     const ranked = new RouteTable(makeRouting({ accounts: [account, makeAccount({ name: 'b', rank: 1, keys: ['kb'] })] }));
     const ranks = [0, 1, 2].map((rank) => ranked.computeRank(makeRoute({ rank }), account));
     expect(ranks).toEqual([0, 1, 2]);
   });
 
-  it('should put all of a lower account behind all of a higher one', () => {
+  it('should rank all requests of a lower account behind all of a higher one', () => {
     const high = makeAccount({ rank: 0 });
     const low = makeAccount({ name: 'b', rank: 1, keys: ['kb'] });
     const ranked = new RouteTable(makeRouting({
@@ -58,8 +58,8 @@
   });
 });
 
-describe('checking a routing', () => {
-  it('should name every fault at once', () => {
+describe('check of a routing document', () => {
+  it('should report all faults at once', () => {
     const faults = checkRouting(makeRouting({
       routes: [
         makeRoute({ name: 'a', targets: [{ service: 'nobody', weight: 1 }] }),
@@ -73,15 +73,15 @@
     expect(faults).toHaveLength(6);
   });
 
-  it('should find no fault in a sound routing', () => {
+  it('should find no fault in a valid routing document', () => {
     expect(checkRouting(makeRouting({}))).toEqual([]);
   });
 });
 
-describe('the document in force', () => {
-  // An operator's acknowledgement was lost, it sends an older change again, and another operator
-  // sends other content under the version held: nothing that was in force may come back or change.
-  it('should only ever be replaced by a higher version', () => {
+describe('document in force', () => {
+  // An operator whose acknowledgement was lost sends an older change again, and another operator
+  // sends different content under the current version. Neither may change the document in force.
+  it('should be replaced only by a higher version', () => {
     const first = applyDocument(NO_DOCUMENT, { version: 4, document: 'four' }, 'd4');
     const late = applyDocument(first, { version: 3, document: 'three' }, 'd3');
     const other = applyDocument(late, { version: 4, document: 'other' }, 'dx');
--- a/tests/core/work-per-decision.spec.ts
+++ b/tests/core/work-per-decision.spec.ts
@@ -1,29 +1,29 @@
 import { describe, expect, it } from 'vitest';
 import { LeaderState } from '../../src/control/leaderState';
 import {
-  applyRecords, recordPace, listLoads, makeRoutedWorkers,
+  applyRecords, listLoads, makeRoutedWorkers, recordPace,
 } from '../../src/core/routing/routedWorkers';
 import type { RoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { chooseRoutedWorker } from '../../src/core/routing/workerChoice';
 import { WatchRequest, WorkerLoad, WorkerRecord } from '../../src/protocol/generated/beechlift';
 
 /*
- * On sites of some eighty entries and a hundred servers a confirmed change was not in force for
- * seconds, and a tenth of the requests was not served. The leader's processor was full from the
- * first request on, so its answers came late, entries gave up and asked anew, and those that it
- * did not reach went by the document before. Proof: its own count of work, 1.6 of 2.0 s in
- * questions alone, which grew with the square of the site. So counts are bounded here, not times.
+ * On large sites the leader's processor was saturated by watch requests, whose cost grew with the
+ * square of the site's size. Its replies came late, and entries timed out and asked again. A
+ * confirmed change took seconds to take effect at entries that it did not reach, and requests went
+ * unserved. These tests limit the number of reads per event, which unlike times does not depend on
+ * the machine.
  */
 
-/** Reads of what is held of one server or entry that an event may cost: a few, at any size. */
-const FEW = 6;
+/** Most reads per server or entry that an event may cost, at any size of the site. */
+const MAX_READS = 6;
 
 const SIZES = [25, 100, 400];
 
 const makeId = (position: number): string => `w${position}`;
 
-/** Servers whose speed has been observed; `reads` counts look-ups of it. */
-const makeObserved = (count: number): { workers: RoutedWorkers; reads: () => number } => {
+/** Makes servers with an observed speed; `reads` counts the reads of it. */
+const makeObservedWorkers = (count: number): { workers: RoutedWorkers; reads: () => number } => {
   const workers = makeRoutedWorkers();
   applyRecords(workers, Array.from({ length: count }, (unused, position) => (
     WorkerRecord.fromPartial({
@@ -52,49 +52,49 @@
   }, 0);
 };
 
-/** A question of an entry that has something at each of some servers; counts look-ups of that. */
-const makeQuestion = (entryId: string, noteRead: () => void): WatchRequest => {
+/** Makes a watch request of an entry with loads on some servers; reports each read of them. */
+const makeWatchRequest = (entryId: string, onRead: () => void): WatchRequest => {
   const loads = Array.from({ length: 10 }, (unused, position) => (
     WorkerLoad.fromPartial({ workerId: makeId(position), inFlight: 1, slowness: 1_000 })));
-  const question = WatchRequest.fromPartial({
+  const request = WatchRequest.fromPartial({
     entryId, callerAddress: `${entryId}:1`, zone: 'a', state: 'active',
   });
-  return Object.defineProperty(question, 'loads', {
+  return Object.defineProperty(request, 'loads', {
     get: () => {
-      noteRead();
+      onRead();
       return loads;
     },
   });
 };
 
-describe('the work that one event costs', () => {
-  it.each(SIZES)('should be a few looks at each server for a choice among %i', (count) => {
-    const { workers, reads } = makeObserved(count);
+describe('cost of one event', () => {
+  it.each(SIZES)('should be a few reads per server for a choice among %i', (count) => {
+    const { workers, reads } = makeObservedWorkers(count);
     choose(workers);
-    expect(reads()).toBeLessThanOrEqual(FEW * count);
+    expect(reads()).toBeLessThanOrEqual(MAX_READS * count);
   });
 
-  it.each(SIZES)('should be a few looks at each server for the loads of %i', (count) => {
-    const { workers, reads } = makeObserved(count);
+  it.each(SIZES)('should be a few reads per server for the loads of %i', (count) => {
+    const { workers, reads } = makeObservedWorkers(count);
     listLoads(workers);
-    expect(reads()).toBeLessThanOrEqual(FEW * count);
+    expect(reads()).toBeLessThanOrEqual(MAX_READS * count);
   });
 
-  it.each(SIZES)('should not grow with the entries for a question of one of %i', (count) => {
+  it.each(SIZES)('should not grow with the entries for a watch request of one of %i', (count) => {
     let now = 0;
-    const book = new LeaderState({ clock: { now: () => now }, leaseMs: 4_000, limitSlack: 0 });
+    const leader = new LeaderState({ clock: { now: () => now }, leaseMs: 4_000, limitSlack: 0 });
     let reads = 0;
-    const questions = Array.from({ length: count }, (unused, position) => (
-      makeQuestion(`e${position}`, () => {
+    const requests = Array.from({ length: count }, (unused, position) => (
+      makeWatchRequest(`e${position}`, () => {
         reads += 1;
       })));
-    questions.forEach((question) => book.recordEntry(question));
+    requests.forEach((request) => leader.recordEntry(request));
     now += 100;
     reads = 0;
-    questions.forEach((question) => {
-      book.recordEntry(question);
-      book.buildEntryPart(question);
+    requests.forEach((request) => {
+      leader.recordEntry(request);
+      leader.buildEntryPart(request);
     });
-    expect(reads).toBeLessThanOrEqual(FEW * count);
+    expect(reads).toBeLessThanOrEqual(MAX_READS * count);
   });
 });
--- a/tests/core/worker-incarnations.spec.ts
+++ b/tests/core/worker-incarnations.spec.ts
@@ -2,157 +2,164 @@
 import { describe, expect, it } from 'vitest';
 import { WorkerRegistry } from '../../src/control/workerRegistry';
 import {
-  adoptRecord, listChangedWorkers, makeWorkerTable, applyAnnouncement,
+  adoptRecord, applyAnnouncement, listChangedWorkers, makeWorkerTable,
 } from '../../src/core/routing/workerTable';
 import type { WorkerTable } from '../../src/core/routing/workerTable';
-import { requestSlots, makePlacementTables, applyPlacementUpdate } from '../../src/core/routing/placement';
+import {
+  applyPlacementUpdate, makePlacementTables, requestSlots,
+} from '../../src/core/routing/placement';
 import { applyRecords, makeRoutedWorkers, suspendWorker } from '../../src/core/routing/routedWorkers';
 import { WatchReply, WorkerAnnouncement } from '../../src/protocol/generated/beechlift';
 import { makeLogger } from '../../src/telemetry/logger';
 import { HeldCalls } from '../../src/utils/heldCalls';
 
-const BIRTH = 1_764_722_000_000;
+const START_TIME = 1_764_722_000_000;
 
-const say = (fields: Partial<WorkerAnnouncement>): WorkerAnnouncement => (
+const makeAnnouncement = (fields: Partial<WorkerAnnouncement>): WorkerAnnouncement => (
   WorkerAnnouncement.fromPartial({
-    workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready', sequence: 1, born: BIRTH, ...fields,
+    workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready', sequence: 1, born: START_TIME, ...fields,
   }));
 
 const read = (table: WorkerTable, id = 'w1') => {
   const worker = table.workers.get(id);
-  return worker && [worker.said.born - BIRTH, worker.standing];
+  return worker && [worker.said.born - START_TIME, worker.standing];
 };
 
-describe('a backend server that starts again under its id', () => {
+describe('backend server that restarts under its id', () => {
   /*
-   * A server crashes and is back a second later under the same id. It counts its announcements from
-   * one again, so all of them were taken for late ones, and it got no work until its count had
-   * passed the one before.
+   * A server crashes and restarts a second later under the same id. It numbers its announcements
+   * from one again. If they all count as late, the server gets no requests until its numbers exceed
+   * the earlier ones.
    */
-  it('should be taken in at its first announcement, whatever its count', () => {
+  it('should be accepted at its first announcement, whatever its sequence number', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 90 }), 0);
     const { revision } = table;
-    applyAnnouncement(table, say({ born: BIRTH + 5, address: '10.0.0.1:81' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME + 5, address: '10.0.0.1:81' }), 10);
     expect(read(table)).toEqual([5, 'ready']);
     expect(listChangedWorkers(table, 'e', revision)).toHaveLength(1);
     expect(table.ownerIds.has('10.0.0.1:80')).toBe(false);
   });
 
-  // The server had taken its leave, and was gone for good whatever it said after its next start.
-  it('should be taken in after the start before has left', () => {
+  // A deregistration must not keep the next incarnation from announcing itself.
+  it('should be accepted after a deregistration of the earlier incarnation', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 90 }), 0);
-    applyAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 90 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ state: 'gone', sequence: 0, address: '' }), 10);
     expect(read(table)).toEqual([0, 'gone']);
-    applyAnnouncement(table, say({ born: BIRTH + 5 }), 20);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME + 5 }), 20);
     expect(read(table)).toEqual([5, 'ready']);
   });
 
   /*
-   * What the start before sent was held up and comes after the new start's first words, with a
-   * higher count and an older state. Work stopped going to a server that was ready.
+   * Delayed announcements of the earlier incarnation arrive after the first ones of the new one,
+   * with higher sequence numbers and an outdated state. Requests to a ready server must not stop.
    */
-  it('should not be spoken for by its earlier start, whose farewell comes late', () => {
+  it('should ignore late announcements and a late deregistration of its earlier incarnation', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 90 }), 0);
-    applyAnnouncement(table, say({ born: BIRTH + 5 }), 10);
-    applyAnnouncement(table, say({ sequence: 91, state: 'draining' }), 20);
-    applyAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 30);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 90 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME + 5 }), 10);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 91, state: 'draining' }), 20);
+    applyAnnouncement(table, makeAnnouncement({ state: 'gone', sequence: 0, address: '' }), 30);
     expect(read(table)).toEqual([5, 'ready']);
   });
 
   /*
-   * The farewell names no start. It may be the new start's or the one before's: no work goes there,
-   * and the new start is back with its next announcement instead of being gone for good.
+   * A deregistration without a start time may belong to the new or the earlier incarnation. The
+   * server gets no requests until its next announcement, instead of being gone for good.
    */
-  it('should only pause for a farewell without a start that may be the one before\'s', () => {
+  it('should only pause for a deregistration without a start time that may be outdated', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 90 }), 0);
-    applyAnnouncement(table, say({ born: BIRTH + 5 }), 10);
-    applyAnnouncement(table, say({
+    applyAnnouncement(table, makeAnnouncement({ sequence: 90 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME + 5 }), 10);
+    applyAnnouncement(table, makeAnnouncement({
       born: 0, state: 'gone', sequence: 0, address: '',
     }), 20);
     expect(read(table)).toEqual([5, 'draining']);
-    applyAnnouncement(table, say({ born: BIRTH + 5, sequence: 2 }), 1_200);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME + 5, sequence: 2 }), 1_200);
     expect(read(table)).toEqual([5, 'ready']);
-    applyAnnouncement(table, say({
+    applyAnnouncement(table, makeAnnouncement({
       born: 0, state: 'gone', sequence: 0, address: '',
     }), 60_000);
     expect(read(table)).toEqual([5, 'gone']);
   });
 
-  it('should not be spoken for by an announcement that names no start', () => {
+  it('should ignore an announcement without a start time', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 2 }), 0);
-    applyAnnouncement(table, say({ born: 0, sequence: 9, state: 'draining' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 2 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ born: 0, sequence: 9, state: 'draining' }), 10);
     expect(read(table)).toEqual([0, 'ready']);
   });
 
   /*
-   * The server's clock went back between its starts, so the later one was born earlier. Nothing it
-   * said was believed, and it got no work.
+   * The server's clock goes back between its incarnations, so the later one has an earlier start
+   * time. If its announcements are all ignored, it gets no requests.
    */
-  it('should be taken in although its clock went back, once the start before is silent', () => {
+  it('should be accepted although its clock went back, once the earlier incarnation is silent', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 90 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 90 }), 0);
     [1, 2, 3, 4].forEach((sequence) => (
-      applyAnnouncement(table, say({ born: BIRTH - 2_400, sequence }), 1_000 + sequence * 1_200)));
+      applyAnnouncement(
+        table,
+        makeAnnouncement({ born: START_TIME - 2_400, sequence }),
+        1_000 + sequence * 1_200,
+      )));
     expect(read(table)).toEqual([-2_400, 'ready']);
-    applyAnnouncement(table, say({ sequence: 91 }), 6_000);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 91 }), 6_000);
     expect(read(table)).toEqual([-2_400, 'ready']);
   });
 
   /*
-   * A cut heals, and all that an earlier start had sent behind it comes at once. The table had
-   * never heard that start, took it for the newer one, and the server that ran was shut out.
+   * A network partition heals, and all announcements that an earlier incarnation sent during it
+   * arrive at once. The table has never seen that incarnation, but must not take it for a newer one
+   * and exclude the running server.
    */
-  it('should not give way to an earlier start whose announcements all come at once', () => {
+  it('should not be replaced by an earlier incarnation whose announcements arrive all at once', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 1 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 1 }), 0);
     [5, 6, 7, 8].forEach((sequence) => (
-      applyAnnouncement(table, say({ born: BIRTH - 9_000, sequence }), 100)));
-    applyAnnouncement(table, say({ sequence: 2 }), 1_200);
-    applyAnnouncement(table, say({ born: BIRTH - 9_000, sequence: 9 }), 5_000);
+      applyAnnouncement(table, makeAnnouncement({ born: START_TIME - 9_000, sequence }), 100)));
+    applyAnnouncement(table, makeAnnouncement({ sequence: 2 }), 1_200);
+    applyAnnouncement(table, makeAnnouncement({ born: START_TIME - 9_000, sequence: 9 }), 5_000);
     expect(read(table)).toEqual([0, 'ready']);
   });
 
   /*
-   * The replica that follows had heard the newer start, the one that led had not. After a change of
-   * leader the older start's record came back with it.
+   * A follower has seen the newer incarnation. After a change of leader, an old record must not
+   * bring the earlier incarnation back.
    */
-  it('should stay superseded in what other replicas take over', () => {
+  it('should keep superseded incarnations in records that other replicas adopt', () => {
     const [leading, following] = [makeWorkerTable('a'), makeWorkerTable('b')];
-    applyAnnouncement(leading, say({ sequence: 90 }), 0);
-    const [early] = listChangedWorkers(leading, '', 0);
-    applyAnnouncement(leading, say({ born: BIRTH + 5 }), 10);
+    applyAnnouncement(leading, makeAnnouncement({ sequence: 90 }), 0);
+    const [outdated] = listChangedWorkers(leading, '', 0);
+    applyAnnouncement(leading, makeAnnouncement({ born: START_TIME + 5 }), 10);
     listChangedWorkers(leading, '', 0).forEach((record) => adoptRecord(following, record, 20));
-    adoptRecord(following, early as never, 30);
-    applyAnnouncement(following, say({ sequence: 91 }), 40);
+    adoptRecord(following, outdated as never, 30);
+    applyAnnouncement(following, makeAnnouncement({ sequence: 91 }), 40);
     expect(read(following)).toEqual([5, 'ready']);
   });
 
   /*
-   * A slow server crashes with all its slots taken, and comes back empty and fast. Its slots
-   * counted as taken until the deadlines of what it had held, and it was left alone as unreachable.
+   * A slow server crashes with all its slots taken, and restarts empty and fast. Its slots must not
+   * count as taken until the deadlines of its earlier requests, and it must not stay suspended.
    */
-  it('should begin with all its slots free and nothing learnt', () => {
+  it('should start with all its slots free and without statistics', () => {
     const workers = makeRoutedWorkers();
     const tables = makePlacementTables(workers);
     const table = makeWorkerTable('e');
-    const inform = () => applyRecords(workers, listChangedWorkers(table, '', 0));
-    const ask = (id: string) => ({
+    const update = () => applyRecords(workers, listChangedWorkers(table, '', 0));
+    const makeRequest = (id: string) => ({
       id, entryId: 'e1', service: 'rooms', rank: 0, promptTokens: 100, outputTokens: 20, targetMs: 500, deadlineAt: 10_000, zone: 'a', tried: [], askedAt: 0,
     });
-    applyAnnouncement(table, say({ slots: 2, sequence: 50 }), 0);
-    inform();
-    requestSlots(tables, [ask('r1'), ask('r2')], 0);
+    applyAnnouncement(table, makeAnnouncement({ slots: 2, sequence: 50 }), 0);
+    update();
+    requestSlots(tables, [makeRequest('r1'), makeRequest('r2')], 0);
     suspendWorker(workers.byId.get('w1') as never, 5);
-    applyAnnouncement(table, say({ slots: 2, born: BIRTH + 5 }), 10);
-    inform();
-    const decisions = requestSlots(tables, [ask('r3'), ask('r4')], 20);
+    applyAnnouncement(table, makeAnnouncement({ slots: 2, born: START_TIME + 5 }), 10);
+    update();
+    const decisions = requestSlots(tables, [makeRequest('r3'), makeRequest('r4')], 20);
     expect(decisions.map(({ kind }) => kind)).toEqual(['grant', 'grant']);
-    // What the start before held ends now, and frees none of the new start's slots.
+    // The request of the earlier incarnation ends now and releases no slot of the new one.
     applyPlacementUpdate(tables, {
       id: 'r1', phase: 'unreached', paceMs: 0, firstEventMs: 0, outputMs: 0,
     }, 30);
@@ -161,61 +168,61 @@
   });
 });
 
-/** One thing that happens to the server or its announcements. */
-type Step = 'beat' | 'lateBeat' | 'deliverLate' | 'restart' | 'restartEarlierBorn' | 'forge' | 'farewell' | 'changeLeader';
+/** An event of the server or its announcements. */
+type Step = 'announce' | 'delay' | 'deliverDelayed' | 'restart' | 'restartWithEarlierClock' | 'announceWithoutStartTime' | 'deregister' | 'changeLeader';
 
-const STEPS: readonly Step[] = ['beat', 'lateBeat', 'deliverLate', 'restart', 'restartEarlierBorn', 'forge', 'farewell', 'changeLeader'];
-const BEAT_MS = 1_200;
+const STEPS: readonly Step[] = ['announce', 'delay', 'deliverDelayed', 'restart', 'restartWithEarlierClock', 'announceWithoutStartTime', 'deregister', 'changeLeader'];
+const ANNOUNCE_INTERVAL_MS = 1_200;
 
-/** A server, two replicas that hear of it, and what is still on its way. */
-class StartsModel {
+/** A server, two replicas that receive its announcements, and announcements still in flight. */
+class IncarnationModel {
   now = 0;
 
-  born = BIRTH;
+  born = START_TIME;
 
-  private highest = BIRTH;
+  private latestStart = START_TIME;
 
   private sequence = 0;
 
-  /** Births in the order in which the leader took them in. */
-  readonly taken: number[] = [];
+  /** Start times in the order in which the leader accepted them. */
+  readonly acceptedStarts: number[] = [];
 
-  readonly left = new Set<number>();
+  readonly deregistered = new Set<number>();
 
-  private readonly late: WorkerAnnouncement[] = [];
+  private readonly delayed: WorkerAnnouncement[] = [];
 
   private replicas = [this.makeRegistry(), this.makeRegistry()] as const;
 
   constructor() {
-    this.beat();
+    this.announce();
   }
 
   get table(): WorkerTable {
     return this.replicas[0].table;
   }
 
-  beat(): void {
+  announce(): void {
     this.sequence += 1;
-    this.takeIn(say({ born: this.born, sequence: this.sequence }));
+    this.deliver(makeAnnouncement({ born: this.born, sequence: this.sequence }));
   }
 
   readonly steps: Record<Step, () => void> = {
-    beat: () => this.beat(),
-    lateBeat: () => {
+    announce: () => this.announce(),
+    delay: () => {
       this.sequence += 1;
-      this.late.push(say({ born: this.born, sequence: this.sequence }));
+      this.delayed.push(makeAnnouncement({ born: this.born, sequence: this.sequence }));
     },
-    deliverLate: () => this.late.splice(0).forEach((said) => this.takeIn(said)),
-    restart: () => this.restart(this.highest + 1 + (this.now % 977)),
-    restartEarlierBorn: () => this.restart(BIRTH - 1 - this.now),
-    forge: () => this.takeIn(say({ born: 0, sequence: 1e6, state: 'draining' })),
-    farewell: () => {
-      if (this.born < this.highest) return;
-      this.left.add(this.born);
-      this.takeIn(say({
+    deliverDelayed: () => this.delayed.splice(0).forEach((said) => this.deliver(said)),
+    restart: () => this.restart(this.latestStart + 1 + (this.now % 977)),
+    restartWithEarlierClock: () => this.restart(START_TIME - 1 - this.now),
+    announceWithoutStartTime: () => this.deliver(makeAnnouncement({ born: 0, sequence: 1e6, state: 'draining' })),
+    deregister: () => {
+      if (this.born < this.latestStart) return;
+      this.deregistered.add(this.born);
+      this.deliver(makeAnnouncement({
         born: this.born, state: 'gone', sequence: 0, address: '',
       }));
-      this.restart(this.highest + 1);
+      this.restart(this.latestStart + 1);
     },
     changeLeader: () => {
       this.replicas = [this.replicas[1], this.replicas[0]];
@@ -223,30 +230,30 @@
     },
   };
 
-  /** The live start is heard by itself for long enough to be believed whatever its birth. */
+  /** Lets only the running incarnation announce itself until it is accepted at any start time. */
   settle(): void {
-    Array.from({ length: 4 }).forEach(() => this.run('beat'));
+    Array.from({ length: 4 }).forEach(() => this.run('announce'));
   }
 
   run(step: Step): void {
-    this.now += BEAT_MS;
+    this.now += ANNOUNCE_INTERVAL_MS;
     this.steps[step]();
   }
 
-  /** A start is heard before it is over: that none ever was, is beyond what can be told apart. */
+  /** Restarts the server. Each incarnation is seen: an unseen one cannot be distinguished. */
   private restart(born: number): void {
     this.born = born;
-    this.highest = Math.max(this.highest, born);
+    this.latestStart = Math.max(this.latestStart, born);
     this.sequence = 0;
     this.settle();
   }
 
-  private takeIn(said: WorkerAnnouncement): void {
+  private deliver(said: WorkerAnnouncement): void {
     const [leader, follower] = this.replicas;
     leader.applyAnnouncement(said);
     follower.applyReply(WatchReply.fromPartial(leader.buildPart({ workersEpoch: '', workersRevision: 0 } as never)));
     const { born } = this.table.workers.get('w1')?.said ?? { born: 0 };
-    if (this.taken.at(-1) !== born) this.taken.push(born);
+    if (this.acceptedStarts.at(-1) !== born) this.acceptedStarts.push(born);
   }
 
   private makeRegistry(): WorkerRegistry {
@@ -261,17 +268,17 @@
   }
 }
 
-describe('starts of a server, in any order of announcements, restarts and changes of leader', () => {
-  it('should never bring a start back that was superseded, and end with the one that runs', () => {
+describe('incarnations of a server, in any order of announcements, restarts and changes of leader', () => {
+  it('should never restore a superseded incarnation, and end with the running one', () => {
     fc.assert(fc.property(fc.array(fc.constantFrom(...STEPS), { maxLength: 40 }), (steps) => {
-      const model = new StartsModel();
+      const model = new IncarnationModel();
       steps.forEach((step) => model.run(step));
-      expect(new Set(model.taken).size).toBe(model.taken.length);
+      expect(new Set(model.acceptedStarts).size).toBe(model.acceptedStarts.length);
       model.settle();
-      expect(read(model.table)).toEqual([model.born - BIRTH, 'ready']);
-      model.run('deliverLate');
+      expect(read(model.table)).toEqual([model.born - START_TIME, 'ready']);
+      model.run('deliverDelayed');
       expect(model.table.workers.get('w1')?.said.born).toBe(model.born);
-      expect(model.left.has(model.born)).toBe(false);
+      expect(model.deregistered.has(model.born)).toBe(false);
     }), { numRuns: 400 });
   });
 });
--- a/tests/core/worker-table.spec.ts
+++ b/tests/core/worker-table.spec.ts
@@ -1,85 +1,85 @@
 import { describe, expect, it } from 'vitest';
 import {
-  adoptRecord, expireWorkers, listChangedWorkers, makeWorkerTable, applyAnnouncement,
+  adoptRecord, applyAnnouncement, expireWorkers, listChangedWorkers, makeWorkerTable,
   WORKER_TIMEOUT_MS,
 } from '../../src/core/routing/workerTable';
 import type { WorkerTable } from '../../src/core/routing/workerTable';
 import { WorkerAnnouncement, WorkerRecord } from '../../src/protocol/generated/beechlift';
 
-const say = (fields: Partial<WorkerAnnouncement>): WorkerAnnouncement => (
+const makeAnnouncement = (fields: Partial<WorkerAnnouncement>): WorkerAnnouncement => (
   WorkerAnnouncement.fromPartial({
     workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready', sequence: 1, ...fields,
   }));
 
 const makeRecord = (fields: Partial<WorkerAnnouncement>, standing: string): WorkerRecord => (
-  WorkerRecord.fromPartial({ said: say(fields), standing }));
+  WorkerRecord.fromPartial({ said: makeAnnouncement(fields), standing }));
 
 const readStanding = (table: WorkerTable, id: string): string | undefined => (
   table.workers.get(id)?.standing
 );
 
-describe('the table of backend servers', () => {
-  // Requests reach a server that has said it leaves: an announcement from before, held up on its
-  // way, comes after the one that says so.
-  it('should not take back that a server leaves for an announcement that was overtaken', () => {
+describe('table of backend servers', () => {
+  // An earlier announcement may be delayed and arrive after the one that reports draining. Requests
+  // must not reach the server any more.
+  it('should keep a server draining when an announcement arrives that was overtaken', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 3 }), 0);
-    applyAnnouncement(table, say({ sequence: 5, state: 'draining' }), 10);
-    applyAnnouncement(table, say({ sequence: 4 }), 20);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 3 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 5, state: 'draining' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 4 }), 20);
     expect(readStanding(table, 'w1')).toBe('draining');
   });
 
-  it('should keep one that has left gone, whatever comes later', () => {
+  it('should keep a deregistered server gone despite later announcements', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ sequence: 3 }), 0);
-    applyAnnouncement(table, say({ state: 'gone', sequence: 0, address: '' }), 10);
-    applyAnnouncement(table, say({ sequence: 9 }), 20);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 3 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ state: 'gone', sequence: 0, address: '' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 9 }), 20);
     expect(readStanding(table, 'w1')).toBe('gone');
     expect(table.workers.get('w1')?.said.address).toBe('10.0.0.1:80');
   });
 
-  // A server crashes behind a cut and another boot takes its address. When the cut heals, what the
-  // dead one sent arrives and would take the address back.
-  it('should leave an address to the newcomer when a dead server is heard again', () => {
+  // A server crashes during a network partition and a new server takes its address. When the
+  // partition heals, delayed announcements of the old server must not take the address back.
+  it('should leave an address to the new server when the old one is heard from again', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({ workerId: 'old', sequence: 7 }), 0);
-    applyAnnouncement(table, say({ workerId: 'new' }), 10);
-    applyAnnouncement(table, say({ workerId: 'old', sequence: 8 }), 20);
+    applyAnnouncement(table, makeAnnouncement({ workerId: 'old', sequence: 7 }), 0);
+    applyAnnouncement(table, makeAnnouncement({ workerId: 'new' }), 10);
+    applyAnnouncement(table, makeAnnouncement({ workerId: 'old', sequence: 8 }), 20);
     expect(readStanding(table, 'old')).toBe('gone');
     expect(readStanding(table, 'new')).toBe('ready');
   });
 
-  it('should set a silent server aside and take it back when it is heard', () => {
+  it('should mark a server as silent after its timeout and as ready at its next announcement', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({}), 0);
+    applyAnnouncement(table, makeAnnouncement({}), 0);
     expireWorkers(table, WORKER_TIMEOUT_MS + 1);
     expect(readStanding(table, 'w1')).toBe('silent');
-    applyAnnouncement(table, say({ sequence: 9 }), WORKER_TIMEOUT_MS + 2);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 9 }), WORKER_TIMEOUT_MS + 2);
     expect(readStanding(table, 'w1')).toBe('ready');
   });
 
-  it('should forget what left long ago, its address included', () => {
+  it('should remove a server that left long ago, including its address', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({}), 0);
-    applyAnnouncement(table, say({ state: 'gone' }), 1);
+    applyAnnouncement(table, makeAnnouncement({}), 0);
+    applyAnnouncement(table, makeAnnouncement({ state: 'gone' }), 1);
     expireWorkers(table, 400_000);
     expect([table.workers.size, table.ownerIds.size]).toEqual([0, 0]);
   });
 
-  it('should list what changed since a revision, and all of it to who counts in another table', () => {
+  it('should list changes since a revision, and everything for a revision of another table', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({}), 0);
+    applyAnnouncement(table, makeAnnouncement({}), 0);
     const { revision } = table;
-    applyAnnouncement(table, say({ workerId: 'w2', address: '10.0.0.2:80' }), 0);
-    applyAnnouncement(table, say({ sequence: 2 }), 1);
+    applyAnnouncement(table, makeAnnouncement({ workerId: 'w2', address: '10.0.0.2:80' }), 0);
+    applyAnnouncement(table, makeAnnouncement({ sequence: 2 }), 1);
     expect(listChangedWorkers(table, 'e', revision).map(({ said }) => said?.workerId)).toEqual(['w2']);
     expect(listChangedWorkers(table, 'other', revision)).toHaveLength(2);
   });
 
-  // A leader dies just after it acknowledged that a server leaves; the next one must know.
-  it('should take over what another replica held, and not undo what it knows better', () => {
+  // A leader may crash just after acknowledging that a server is leaving; the next must know it.
+  it('should adopt the records of another replica, except older ones', () => {
     const table = makeWorkerTable('e');
-    applyAnnouncement(table, say({
+    applyAnnouncement(table, makeAnnouncement({
       workerId: 'w2', address: '10.0.0.2:80', state: 'draining', sequence: 8,
     }), 0);
     adoptRecord(table, makeRecord({ state: 'draining', sequence: 4 }, 'draining'), 0);
