--- a/src/core/routing/retryBudget.ts
+++ b/src/core/routing/retryBudget.ts
@@ -11,7 +11,7 @@
 
 /** Remaining retries of one service. */
 interface ServiceBudget {
-  left: number;
+  remaining: number;
   refilledAt: number;
 }
 
@@ -37,21 +37,21 @@
   /** Counts a request of the service. */
   recordRequest(service: string, now: number): void {
     const budget = this.refill(service, now);
-    budget.left = Math.min(this.capacity, budget.left + this.bounds.ratio * USED_SHARE);
+    budget.remaining = Math.min(this.capacity, budget.remaining + this.bounds.ratio * USED_SHARE);
   }
 
   /** Takes one retry from the budget; returns false when none is left. */
   take(service: string, now: number): boolean {
     const budget = this.refill(service, now);
-    if (budget.left < 1) return false;
-    budget.left -= 1;
+    if (budget.remaining < 1) return false;
+    budget.remaining -= 1;
     return true;
   }
 
   /** Returns a retry that was taken but not made. */
   refund(service: string, now: number): void {
     const budget = this.refill(service, now);
-    budget.left = Math.min(this.capacity, budget.left + 1);
+    budget.remaining = Math.min(this.capacity, budget.remaining + 1);
   }
 
   private get capacity(): number {
@@ -61,12 +61,12 @@
   private refill(service: string, now: number): ServiceBudget {
     const budget = this.byService.get(service);
     if (!budget) {
-      const fresh = { left: this.capacity / 2, refilledAt: now };
-      this.byService.set(service, fresh);
-      return fresh;
+      const newBudget = { remaining: this.capacity / 2, refilledAt: now };
+      this.byService.set(service, newBudget);
+      return newBudget;
     }
     const gained = (this.capacity * (now - budget.refilledAt)) / (2 * this.bounds.windowMs);
-    budget.left = Math.min(this.capacity, budget.left + gained);
+    budget.remaining = Math.min(this.capacity, budget.remaining + gained);
     budget.refilledAt = now;
     return budget;
   }
--- a/src/core/routing/workerChoice.ts
+++ b/src/core/routing/workerChoice.ts
@@ -41,7 +41,7 @@
  */
 const CROSS_ZONE_PENALTY_MS = 6;
 
-/** Factor on the expected start of a server whose answers all fail, above the usual rate. */
+/** Factor by which an expected wait counts more when all answers fail beyond the usual share. */
 const FAILURE_PENALTY = 20;
 
 /** Milliseconds of a plain answer at a server of usual speed, which makes loads comparable. */
@@ -81,7 +81,7 @@
   };
 };
 
-/** Share of the remaining time that an answer is expected to need, as lengths are estimates. */
+/** Largest share of the remaining time that an answer may need; its length is an estimate. */
 const USABLE_TIME_SHARE = 0.8;
 
 /*
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -11,6 +11,7 @@
 
 /** A backend server in the table. */
 export interface TrackedWorker {
+  /** Its last announcement. */
   said: WorkerAnnouncement;
   standing: WorkerStanding;
   /** Time of its last announcement, monotonic milliseconds. */
@@ -224,38 +225,38 @@
  */
 export const needsRecord = (
   { workers }: WorkerTable,
-  { said, standing }: WorkerRecord,
+  { said: announcement, standing }: WorkerRecord,
 ): boolean => {
-  if (!said) return false;
-  const known = workers.get(said.workerId);
+  if (!announcement) return false;
+  const known = workers.get(announcement.workerId);
   if (!known) return true;
   const relation = compareIncarnation(
     { born: known.said.born, superseded: known.superseded },
-    said,
+    announcement,
   );
   if (relation !== 'same') return relation === 'newer';
   return known.standing !== 'gone'
-    && (standing === 'gone' || known.said.sequence < said.sequence);
+    && (standing === 'gone' || known.said.sequence < announcement.sequence);
 };
 
 /** Adopts a record from another replica's table. */
 export const adoptRecord = (
   table: WorkerTable,
-  { said, standing, supersededStarts }: WorkerRecord,
+  { said: announcement, standing, supersededStarts }: WorkerRecord,
   now: number,
 ): void => {
-  if (!said) return;
-  const known = table.workers.get(said.workerId);
-  if (known && !isNewer(known, said)) {
+  if (!announcement) return;
+  const known = table.workers.get(announcement.workerId);
+  if (known && !isNewer(known, announcement)) {
     known.superseded = supersededStarts.reduce(addSuperseded, known.superseded);
     return;
   }
   if (!known && table.workers.size >= MAX_WORKERS) return;
-  const previousStarts = known && known.said.born !== said.born ? [known.said.born] : [];
+  const previousStarts = known && known.said.born !== announcement.born ? [known.said.born] : [];
   const superseded = [...known?.superseded ?? [], ...supersededStarts, ...previousStarts];
-  const worker = makeTrackedWorker(said, superseded.reduce(addSuperseded, []), now);
-  table.workers.set(said.workerId, worker);
-  if (standing !== 'gone') table.ownerIds.set(said.address, said.workerId);
+  const worker = makeTrackedWorker(announcement, superseded.reduce(addSuperseded, []), now);
+  table.workers.set(announcement.workerId, worker);
+  if (standing !== 'gone') table.ownerIds.set(announcement.address, announcement.workerId);
   setStanding(table, worker, standing as WorkerStanding);
 };
 
--- a/tests/core/mechanisms.spec.ts
+++ b/tests/core/mechanisms.spec.ts
@@ -2,12 +2,12 @@
 import { MECHANISMS, makeMechanisms } from '../../src/core/routing/mechanisms';
 import type { Mechanism } from '../../src/core/routing/mechanisms';
 import {
-  requestSlots, makePlacementTables, applyPlacementUpdate, placeWaiting,
+  applyPlacementUpdate, makePlacementTables, placeWaiting, requestSlots,
 } from '../../src/core/routing/placement';
-import type { SlotRequest, PlacementTables } from '../../src/core/routing/placementTables';
+import type { PlacementTables, SlotRequest } from '../../src/core/routing/placementTables';
 import { computeMaxWaitMs, estimateWaitMs } from '../../src/core/routing/placementWait';
 import {
-  applyLoads, applyRecords, recordAnswer, recordPace, makeRoutedWorkers, suspendWorker,
+  applyLoads, applyRecords, makeRoutedWorkers, recordAnswer, recordPace, suspendWorker,
 } from '../../src/core/routing/routedWorkers';
 import type { RoutedWorker } from '../../src/core/routing/routedWorkers';
 import { chooseRoutedWorker } from '../../src/core/routing/workerChoice';
@@ -47,9 +47,9 @@
   workers.byId.get(id) as RoutedWorker);
 
 const chooseId = (tables: PlacementTables, fields: Partial<SlotRequest> = {}): string => {
-  const ask = makeRequest('r', fields);
+  const request = makeRequest('r', fields);
   return chooseRoutedWorker(tables.workers, {
-    ...ask, remainingMs: ask.deadlineAt - NOW, requiresFreeSlot: false,
+    ...request, remainingMs: request.deadlineAt - NOW, requiresFreeSlot: false,
   }, NOW)?.worker.id ?? '';
 };
 
