--- a/src/relay/admitRequest.ts
+++ b/src/relay/admitRequest.ts
@@ -5,23 +5,23 @@
 import type { RelaySite } from './relaySite';
 import type { RequestFacts } from './requestDialect';
 
-/** A request that may be sent, and what the routing says of it. */
+/** A request that may be sent, with its route and account. */
 export interface AdmittedRequest {
   readonly route: Route;
   readonly service: string;
   readonly account: RoutedAccount | undefined;
-  /** Rank 0 goes first: the account's precedes the route's where accounts differ. */
+  /** Rank 0 goes first. The account's rank takes precedence where accounts differ. */
   readonly rank: number;
-  /** Routing version that admitted it. */
+  /** Version of the routing document that admitted the request. */
   readonly version: number;
 }
 
-/** Time after which a caller may ask an entry again that cannot serve at the moment. */
+/** Retry-After while the entry has no lease, in milliseconds. */
 const NO_LEASE_RETRY_MS = 500;
 
 const requireTable = (site: RelaySite): RouteTable => {
   if (site.table && site.isServing) return site.table;
-  // Without a lease it is not known which routes and keys are in force: nothing is said of them.
+  // Without a lease the routes and keys in force are unknown, so the error does not mention them.
   throw new BeechliftError('configurationStale', 'this entry has no lease on the routing document', { retryAfterMs: NO_LEASE_RETRY_MS });
 };
 
@@ -32,17 +32,17 @@
 ): RoutedAccount | undefined => {
   if (route.isPublic || !table.needsKeys) return undefined;
   const account = table.findAccount(facts.key);
-  if (!account) throw new BeechliftError('unknownKey', `the key opens no account for route "${route.name}"`);
+  if (!account) throw new BeechliftError('unknownKey', `route "${route.name}" requires the key of an account, the received key belongs to none`);
   return account;
 };
 
-/** What a request costs its account, in the account's unit. */
+/** Computes the cost of a request for its account, in the account's unit. */
 export const computeCost = (account: RoutedAccount, { tokens }: RequestFacts): number => {
   if (account.unit === 'requests') return 1;
   return tokens ? tokens.prompt + tokens.output : account.defaultTokens;
 };
 
-/** Takes what a request costs off its account's loan; throws when that is used up. */
+/** Charges a request to the account's share at this entry; throws if the share is used up. */
 export const chargeAccount = (
   site: RelaySite,
   account: RoutedAccount | undefined,
@@ -57,7 +57,7 @@
 /**
  * Decides whether a request may be sent, and to which service; throws the refusal otherwise.
  *
- * @param randomValue a number from 0 to below 1, by which a route with several targets is split
+ * @param randomValue a random number in [0, 1) that selects one of several targets of a route
  * @example
  * const admitted = admitRequest(site, facts, 'shop.example', '/orders/7', Math.random());
  */
@@ -70,7 +70,7 @@
 ): AdmittedRequest => {
   const table = requireTable(site);
   const route = table.findRoute(host, target);
-  if (!route) throw new BeechliftError('unknownRoute', `no route covers host "${host.slice(0, 100)}" and this path`);
+  if (!route) throw new BeechliftError('unknownRoute', `no route matches host "${host.slice(0, 100)}" and the requested path`);
   const account = findAccount(table, route, facts);
   return {
     route,
--- a/src/relay/answerWriter.ts
+++ b/src/relay/answerWriter.ts
@@ -8,10 +8,10 @@
 
 const MS_PER_SECOND = 1_000;
 const NO_EXTRA_HEADERS: ReadonlySet<string> = new Set();
-/** Plain answers up to this size are held until they are whole. */
+/** Answers of up to this size that are not streams are buffered until they are complete. */
 const MAX_BUFFERED_BYTES = 65_536;
 
-/** Statuses whose answers have no body, with or without a length (RFC 9110, section 6.4.1). */
+/** Statuses whose answers have no body, whatever their headers say (RFC 9110, section 6.4.1). */
 const BODILESS_STATUSES: readonly number[] = [204, 304];
 
 const isSelfDelimited = ({ status, headers }: UpstreamHead): boolean => BODILESS_STATUSES.includes(status)
@@ -19,16 +19,17 @@
   || findHeader(headers, 'transfer-encoding') !== undefined;
 
 /**
- * How an answer is passed on: as it comes; event by event, so that it may go on elsewhere; or held
- * until it is whole, so that one which breaks off can be asked for anew, or be told of.
+ * How an answer is passed on. `direct`: each chunk at once. `framed`: in whole events, so that
+ * another server can resume the stream. `buffered`: complete, so that a request whose answer is cut
+ * off can be retried or answered with an error.
  */
 export type AnswerMode = 'direct' | 'framed' | 'held';
 
 /**
- * Tells how the answers of a route are passed on.
+ * Returns how the answers of a route are passed on.
  *
  * @example
- * const writer = new AnswerWriter(response, pickFlow(route), readNow, isClosing);
+ * const writer = new AnswerWriter(response, pickAnswerMode(route), readNow, isClosing);
  */
 export const pickAnswerMode = ({ kind, isResumable }: Route): AnswerMode => {
   if (kind !== 'stream') return 'held';
@@ -36,7 +37,8 @@
 };
 
 /**
- * Writes one answer to a caller: what a backend server sent, unchanged, or an error of our own.
+ * Writes one answer to a caller: the unchanged answer of a backend server, or an error of the
+ * entry.
  *
  * @example
  * writer.writeHead(head);
@@ -44,22 +46,23 @@
  * writer.end();
  */
 export class AnswerWriter {
-  /** When the first and the last piece of the body were written, monotonic milliseconds. */
+  /** When the first and the last chunk of the body were written, monotonic milliseconds. */
   firstAt = 0;
 
   lastChunkAt = 0;
 
-  /** Status that a backend server answered with; 0 before. */
+  /** Status of the backend server's answer; 0 until it is received. */
   statusCode = 0;
 
-  /** Pieces of the body: events of a stream that is framed, writes of another. */
+  /** Number of chunks that were written: events in `framed` mode, writes otherwise. */
   pieces = 0;
 
   private readonly framer: EventFramer | undefined;
 
   /**
-   * Whether the answer has no length of its own. It is passed on as it came, so that its end tells
-   * the caller no more than it told us: framed anew, one that was cut short would look whole.
+   * Whether the end of the answer is marked only by the end of the connection. Such an answer is
+   * passed on in the same form: with chunked encoding, an answer that was cut off would look
+   * complete to the caller.
    */
   private isCloseDelimited = false;
 
@@ -71,7 +74,7 @@
 
   private hasFailed = false;
 
-  /** @param isClosing whether the caller is to send nothing more on its connection */
+  /** @param isClosing returns whether the connection closes after this answer */
   constructor(
     private readonly response: ServerResponse,
     private mode: AnswerMode,
@@ -81,27 +84,27 @@
     this.framer = mode === 'framed' ? new EventFramer() : undefined;
   }
 
-  /** Whether the caller has the head of an answer. */
+  /** Whether the head of an answer was sent to the caller. */
   get hasBegun(): boolean {
     return this.response.headersSent;
   }
 
-  /** Whether what the caller has so far may be followed by the rest from another server. */
+  /** Whether another server can send the rest of an answer that has started. */
   get canResume(): boolean {
     return this.framer !== undefined;
   }
 
-  /** Whether the caller has gone, or has its whole answer. */
+  /** Whether the caller disconnected, or the answer is complete or failed. */
   get isFinished(): boolean {
     return this.hasFailed || this.response.destroyed || this.response.writableEnded;
   }
 
-  /** Last event that the caller has; empty when there is none. */
+  /** Id of the last event that was sent to the caller; empty if there is none. */
   get lastEventId(): string {
     return this.framer?.lastEventId ?? '';
   }
 
-  /** Passes a head on; the head of a stream that goes on is known to the caller already. */
+  /** Passes a head on; does nothing for a resumed stream, whose head was sent before. */
   writeHead(head: UpstreamHead): void {
     if (this.hasBegun) return;
     this.statusCode = head.status;
@@ -115,11 +118,11 @@
     this.response.useChunkedEncodingByDefault = !this.isCloseDelimited;
     this.response.shouldKeepAlive &&= !this.isCloseDelimited && !this.isClosing();
     this.response.writeHead(head.status, dropHeaders(head.headers, NO_EXTRA_HEADERS));
-    // The head of a stream is worth having before its first event.
+    // The caller of a stream gets the head before the first event.
     if (this.mode !== 'held') this.response.flushHeaders();
   }
 
-  /** Passes a piece on; false when the caller reads slower than it comes. */
+  /** Passes a chunk on; returns false if the caller reads more slowly than chunks arrive. */
   write(chunk: Buffer): boolean {
     if (this.mode === 'held') return this.bufferChunk(chunk);
     const bytes = this.framer ? this.framer.push(chunk) : chunk;
@@ -130,12 +133,12 @@
     return this.send(bytes);
   }
 
-  /** Writes nothing after the final answer: past its end, that would end the process. */
+  /** Writes nothing once the answer is finished: a write after the end would crash the process. */
   private send(bytes: Buffer): boolean {
     return this.isFinished || this.response.write(bytes);
   }
 
-  /** Forgets what the caller does not have yet, before another server is asked. */
+  /** Discards what was not sent to the caller, before another server is tried. */
   discardUnsent(): void {
     this.framer?.discardPartial();
     this.buffered = [];
@@ -143,12 +146,12 @@
     this.bufferedHead = undefined;
   }
 
-  /** Calls back once the caller reads again. */
+  /** Calls `resume` once the caller has read what was written. */
   waitDrained(resume: () => void): void {
     this.response.once('drain', resume);
   }
 
-  /** Ends an answer that is whole. */
+  /** Ends a complete answer. */
   end(): void {
     this.flushBuffered();
     const rest = this.framer?.takeRemainder();
@@ -173,16 +176,16 @@
   }
 
   /**
-   * Ends an answer that cannot be completed. The connection is broken off, so that what came so far
-   * does not look whole.
+   * Aborts an answer that cannot be completed. Closes the connection, so that the caller does not
+   * take the part that it has for the whole answer.
    */
   abort(): void {
-    // An answer that ends with its connection looks whole unless the connection is reset.
+    // An answer that ends with its connection looks complete unless the connection is reset.
     if (this.isCloseDelimited) this.response.socket?.resetAndDestroy();
     this.response.destroy();
   }
 
-  /** Answers with an error of our own; one that comes after a head breaks the answer off. */
+  /** Answers with an error of the entry, or aborts an answer whose head was sent. */
   fail(error: BeechliftError): void {
     if (this.isFinished) return;
     this.hasFailed = true;
--- a/src/relay/attemptOutcome.ts
+++ b/src/relay/attemptOutcome.ts
@@ -1,4 +1,4 @@
-/** What came of an attempt at a server, by the head of its answer and the end of its call. */
+/** Computes the outcome of an attempt from the head of its answer and the outcome of its call. */
 import { clearSuspension, suspendWorker } from '../core/routing/routedWorkers';
 import type { RoutedWorker } from '../core/routing/routedWorkers';
 import { isBackingOff } from '../core/routing/workerBackoff';
@@ -10,28 +10,28 @@
 const OK = 200;
 const SERVER_ERROR = 500;
 
-/** An answer's head, beside the request that it is to answer. */
+/** The head of an answer, with the request that it should answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly answer: AnswerFacts;
   /** The caller's id of the request. */
   readonly requestId: string;
-  /** Whether the caller has the beginning of an answer already. */
+  /** Whether the head of an answer was sent to the caller before. */
   readonly hasBegun: boolean;
 }
 
-/** A stream that goes on elsewhere can only go on with a success. */
+/** Returns a failure if a resumed stream is not answered with a success. */
 const checkResumedStatus = ({ status, hasBegun }: AnswerHead): AttemptOutcome | undefined => {
   if (!hasBegun || status === OK) return undefined;
-  return { kind: 'failed', reason: `status ${status} in place of the rest of a stream` };
+  return { kind: 'failed', reason: `expected status 200 for a resumed stream, received ${status}` };
 };
 
 /**
- * Tells what is wrong with an answer's head; undefined for one that is passed on.
+ * Returns why an answer's head is refused, or undefined if the answer is passed on.
  *
- * @param reserveRetry whether the request is certain to be sent again where this answer is refused
+ * @param reserveRetry returns whether the request is certain to be sent again if it is refused
  * @example
- * const verdict = judgeAnswer(judged, () => rules.holdRepeat(deadlineAt));
+ * const headOutcome = checkAnswerHead(head, () => retryPolicy.reserveRetry(deadlineAt));
  */
 export const checkAnswerHead = (
   head: AnswerHead,
@@ -49,7 +49,7 @@
   return hasBegun || reserveRetry() ? outcome : undefined;
 };
 
-/** An attempt whose call has ended. */
+/** An attempt whose call has finished. */
 export interface FinishedAttempt {
   readonly worker: RoutedWorker;
   readonly tracker: AttemptTracker;
@@ -59,11 +59,11 @@
 }
 
 /**
- * Settles an attempt: ends an answer that is whole, and learns of the server from how it went.
+ * Settles an attempt: ends a complete answer, and updates the statistics of the server.
  *
- * @param headOutcome what was wrong with the answer's head
+ * @param headOutcome why the answer's head was refused; undefined if it was not
  * @example
- * const settled = settleAttempt({ worker, notes, writer, now }, end, verdict);
+ * const outcome = settleAttempt({ worker, tracker, writer, now }, callOutcome, headOutcome);
  */
 export const settleAttempt = (
   {
@@ -73,7 +73,7 @@
   headOutcome: AttemptOutcome | undefined,
 ): AttemptOutcome => {
   if (headOutcome?.kind === 'rejected') {
-    // What the server asked for goes before a pause of our own.
+    // A backoff that the server asked for takes precedence over the entry's own suspension.
     if (!isBackingOff(worker.backoff, now)) suspendWorker(worker, now);
     return headOutcome;
   }
@@ -87,7 +87,7 @@
     tracker.recordAnswer(writer.statusCode >= SERVER_ERROR);
     return { kind: 'answered' };
   }
-  if (writer.isFinished) return { kind: 'dropped', reason: 'its time was over, or its caller has gone' };
+  if (writer.isFinished) return { kind: 'dropped', reason: 'the deadline passed or the caller disconnected' };
   suspendWorker(worker, now);
   tracker.recordFailure();
   return callOutcome.kind === 'unsent' ? callOutcome : headOutcome ?? callOutcome;
--- a/src/relay/attemptTracker.ts
+++ b/src/relay/attemptTracker.ts
@@ -8,16 +8,16 @@
 import type { RequestFacts } from './requestDialect';
 import type { PickedWorker } from './workerPicker';
 
-/** What came of one attempt. */
+/** Outcome of one attempt. */
 export type AttemptOutcome = | { readonly kind: 'answered' }
-  /** Nobody waits for it any more. */
+  /** The request no longer needed an answer. */
   | { readonly kind: 'dropped'; readonly reason: string }
-  /** The server did not run it, or no byte reached it. */
+  /** The server did not run the request, or received no byte of it. */
   | { readonly kind: 'unsent' | 'rejected'; readonly reason: string }
-  /** It may have run. */
+  /** The server may have run the request. */
   | { readonly kind: 'broken' | 'failed'; readonly reason: string };
 
-/** What the leader hears of each end. */
+/** Phase that is reported to the leader for each outcome. */
 const PLACED_PHASES: Record<AttemptOutcome['kind'], string> = {
   answered: 'ended',
   dropped: 'dropped',
@@ -27,10 +27,10 @@
   unsent: 'unreached',
 };
 
-/** Events of a stream after which the pace of its server is learnt anew. */
+/** Events of a stream between two measurements of its server's pace. */
 const PACE_SAMPLE_CHUNKS = 8;
 
-/** What notes of an attempt are made from. */
+/** Dependencies of an attempt tracker, and the attempt. */
 export interface AttemptTrackerParts {
   readonly site: RelaySite;
   readonly placeClient: PlaceClient;
@@ -42,17 +42,18 @@
 }
 
 /**
- * What is counted, learnt and told of one attempt at one backend server.
+ * Counts one attempt at one backend server, measures the server by it, and reports its progress to
+ * the leader.
  *
  * @example
- * const notes = new AttemptNotes(parts); // counts the request in
- * notes.noteHead();
- * notes.noteEnd('answered');
+ * const tracker = new AttemptTracker(parts); // counts the request as in flight
+ * tracker.recordHead();
+ * tracker.reportOutcome('answered');
  */
 export class AttemptTracker {
   private readonly startedAt: number;
 
-  /** Prompt tokens that the server was still to read when the request was sent there. */
+  /** Prompt tokens that the server had not processed yet when the request was sent. */
   private readonly pendingTokensBefore: number;
 
   private isPrefillPending = true;
@@ -67,14 +68,14 @@
     worker.pendingTokens += this.promptTokens;
   }
 
-  /** The answer has begun. */
+  /** Records that the answer has started: the server has processed the prompt. */
   recordHead(): void {
     if (!this.isPrefillPending) return;
     this.isPrefillPending = false;
     this.parts.picked.worker.pendingTokens -= this.promptTokens;
   }
 
-  /** A piece of the answer was passed on: the pace is learnt each time so many events have come. */
+  /** Records a chunk that was passed on; updates the pace every `PACE_SAMPLE_CHUNKS` events. */
   recordChunk(): void {
     const { isStream, picked } = this.parts;
     const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
@@ -85,7 +86,7 @@
     if (hasPaceSample || pieces === 1) this.report({ phase: 'running', ...NO_TIMINGS, paceMs });
   }
 
-  /** The server has nothing of the request any more. */
+  /** Records that the request has left the server. */
   releaseWorker(): void {
     const { picked, site } = this.parts;
     this.recordHead();
@@ -93,7 +94,7 @@
     if (picked.epoch !== '' && picked.epoch === site.workersEpoch) picked.worker.placed -= 1;
   }
 
-  /** Tells the leader how the attempt ended. */
+  /** Reports the outcome of the attempt to the leader. */
   reportOutcome(kind: AttemptOutcome['kind']): void {
     const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
     const isTimed = kind === 'answered' && pieces > 0;
@@ -105,7 +106,7 @@
     });
   }
 
-  /** Learns from an answer that came. */
+  /** Updates the statistics of the server with an answer that was received. */
   recordAnswer(failed: boolean): void {
     const {
       site, clock, isStream, picked,
@@ -125,7 +126,7 @@
     });
   }
 
-  /** Learns that no answer came. */
+  /** Updates the statistics of the server with an attempt that got no answer. */
   recordFailure(): void {
     recordAnswer(this.parts.site.workers, this.parts.picked.worker, {
       holdMs: 0, paceMs: 0, firstEvent: undefined, output: undefined, failed: true,
--- a/src/relay/callerConnections.ts
+++ b/src/relay/callerConnections.ts
@@ -3,18 +3,18 @@
 
 type ReadError = Error & { readonly code?: string };
 
-/** Nothing more comes from the caller, in the middle of a request. */
+/** Error code if the caller ended the connection in the middle of a request. */
 const CALLER_ENDED = 'HPE_INVALID_EOF_STATE';
 const HEAD_TIMEOUT = 'ERR_HTTP_REQUEST_TIMEOUT';
 const BAD_REQUEST = '400 Bad Request';
 
-/** What callers are told, by the error that ended the reading. */
+/** Status line for each error code of the HTTP parser. */
 const STATUS_LINES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   [HEAD_TIMEOUT]: '408 Request Timeout',
 };
 
-/** Answers what cannot be read as a request, and closes: nothing of it was passed on. */
+/** Answers input that is no valid request and closes the connection; nothing was passed on. */
 const refuseUnreadable = (error: ReadError, socket: Socket): void => {
   if (!socket.writable || error.code === 'ECONNRESET') {
     socket.destroy();
@@ -24,39 +24,39 @@
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`);
 };
 
-/** Whether an answer is under way that the error does not concern. */
+/** Whether an answer is in progress that the error does not affect. */
 const isInProgress = ({ destroyed, req }: ServerResponse, { code }: ReadError): boolean => (
   !destroyed && req.complete && code !== CALLER_ENDED
 );
 
 /**
- * Decides when connections of callers are closed that are idle, or on which no request can be read.
+ * Closes connections of callers that are idle or on which no request can be read.
  *
- * Guards callers against time that this process was held up: timers run before what has come
- * meanwhile is read, so a limit that seems to be passed is looked at once more after the reading.
+ * If this process was busy, timers run before input that arrived meanwhile is read. A limit that
+ * seems to be exceeded is therefore checked again after that input was read.
  *
  * @example
  * server.on('request', ({ socket }, response) => callers.noteRequest(socket, response));
  * server.on('timeout', (socket) => callers.closeIdle(socket));
  */
 export class CallerConnections {
-  /** The newest request's response on each. */
+  /** Response to the latest request of each connection. */
   private readonly latestResponse = new WeakMap<Socket, ServerResponse>();
 
-  /** Those that end, or are looked at once more before. */
+  /** Connections that have failed and will be closed, unless a second check clears them. */
   private readonly failed = new WeakSet<Socket>();
 
-  /** Notes a request whose head has come. */
+  /** Registers a request whose head was received. */
   registerRequest(socket: Socket, response: ServerResponse): void {
     this.latestResponse.set(socket, response);
   }
 
-  /** Whether no request has come on a connection behind the one that a response answers. */
+  /** Whether a response answers the latest request of its connection. */
   isNewest(socket: Socket, response: ServerResponse): boolean {
     return this.latestResponse.get(socket) === response;
   }
 
-  /** Closes a connection after its idle time, unless something has come on it. */
+  /** Closes a connection after its idle time, unless input is waiting to be read. */
   closeIdle(socket: Socket): void {
     const { bytesRead } = socket;
     setImmediate(() => {
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Answers an error in the reading of a connection, and closes it: after the answer that is under
-   * way there, which belongs to a request that was read whole.
+   * Answers an error in the input of a connection and closes the connection. An answer in progress
+   * to a request that was read completely is finished first.
    */
   handleError(error: ReadError, socket: Socket): void {
     if (this.failed.has(socket)) return;
--- a/src/relay/connectionProbe.ts
+++ b/src/relay/connectionProbe.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net';
 
-/** Longest wait for an answer, in milliseconds: one that does not come says nothing. */
+/** Longest wait for a result, in milliseconds; a timeout does not count as refused. */
 const PROBE_TIMEOUT_MS = 300;
 
 const probeRefusal = (address: string): Promise<boolean> => new Promise((resolve) => {
@@ -16,11 +16,12 @@
 });
 
 /**
- * Tells servers whose process has ended from those that only closed a connection: the first refuse
- * new ones. Requests that broke off at one server at the same time share one check.
+ * Checks whether the process of a server has ended, in which case it refuses new connections, or
+ * the server only closed a connection. Requests that fail at one server at the same time share one
+ * check.
  *
  * @example
- * const hasEnded = await check.isRefused('10.0.0.9:8080');
+ * const hasEnded = await probe.isRefused('10.0.0.9:8080');
  */
 export class ConnectionProbe {
   private readonly pending = new Map<string, Promise<boolean>>();
--- a/src/relay/crashRecords.ts
+++ b/src/relay/crashRecords.ts
@@ -1,12 +1,12 @@
 import { formatIncarnation } from '../core/quarantine/crashTable';
 import type { CrashSighting } from '../protocol/generated/beechlift';
 
-/** How long a leader that is new is told of an end, in milliseconds. */
+/** How long a crash is kept and reported to new leaders, in milliseconds. */
 const RETENTION_MS = 60_000;
-/** Bounds what is kept: the oldest go. */
+/** Most crashes that are kept; the oldest are dropped. */
 const MAX_RECORDS = 256;
 
-/** A server that ended under a request, as this entry saw it. */
+/** A server crash under a request, as this entry saw it. */
 export type ServerCrash = Omit<CrashSighting, 'ageMs'>;
 
 interface CrashRecord {
@@ -16,48 +16,48 @@
 }
 
 /**
- * Servers that ended under requests of this entry. Kept for a while, as a leader that is new knows
- * nothing of what the one before was told.
+ * Keeps the server crashes under requests of this entry for some time, because a new leader does
+ * not have the reports that were sent to the previous one.
  *
  * @example
- * notes.add({ fingerprint, workerId: 'w1', born: 0 }, clock.now());
- * message.sightings = notes.takeUntold(clock.now());
+ * crashes.add({ fingerprint, workerId: 'w1', born: 0 }, clock.now());
+ * message.sightings = crashes.takeUnreported(clock.now());
  */
 export class CrashRecords {
   private records: CrashRecord[] = [];
 
-  /** Notes an end. */
+  /** Adds a crash. */
   add(crash: ServerCrash, now: number): void {
     this.records = [
       ...this.records.filter(({ at }) => now - at <= RETENTION_MS), { end: crash, at: now, isTold: false },
     ].slice(-MAX_RECORDS);
   }
 
-  /** Whether a server ended under any request of late. */
+  /** Whether any server has recently crashed under a request. */
   hasCrashes(now: number): boolean {
     return this.records.some(({ at }) => now - at <= RETENTION_MS);
   }
 
-  /** Counts the servers that ended here of late under a request. */
+  /** Counts the servers that have recently crashed under a request. */
   countServers(fingerprint: string, now: number): number {
     return new Set(this.records
       .filter(({ end: crash, at }) => crash.fingerprint === fingerprint && now - at <= RETENTION_MS)
       .map(({ end: crash }) => formatIncarnation(crash))).size;
   }
 
-  /** Whether the leader is to hear of something. */
+  /** Whether there are crashes that were not reported to the leader. */
   get hasUnreported(): boolean {
     return this.records.some(({ isTold: isReported }) => !isReported);
   }
 
-  /** Begins anew with another leader. */
+  /** Marks all crashes as unreported, for a new leader. */
   markUnreported(): void {
     this.records.forEach((record) => {
       record.isTold = false;
     });
   }
 
-  /** What the leader has not heard yet. */
+  /** Returns the crashes that were not reported yet and marks them as reported. */
   takeUnreported(now: number): CrashSighting[] {
     const unreported = this.records.filter(({ isTold: isReported }) => !isReported);
     unreported.forEach((record) => {
@@ -66,7 +66,7 @@
     return unreported.map(({ end: crash, at }) => ({ ...crash, ageMs: Math.round(now - at) }));
   }
 
-  /** Forgets a request that was served after all. */
+  /** Removes the crashes of a request that was served later. */
   forget(fingerprint: string): void {
     this.records = this.records.filter(({ end: crash }) => crash.fingerprint !== fingerprint);
   }
--- a/src/relay/endAfterBody.ts
+++ b/src/relay/endAfterBody.ts
@@ -1,13 +1,13 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Longest wait for the rest of a body that nobody reads, in milliseconds. */
+/** Longest wait for the rest of a body that is discarded, in milliseconds. */
 const REMAINING_BODY_TIMEOUT_MS = 1_000;
 
 /**
- * Ends an answer that closes its connection, once the rest of the request's body has come.
+ * Ends an answer that closes its connection once the rest of the request's body was received.
  *
- * A connection that is closed while bytes of its caller are unread is reset, which takes the answer
- * away from a caller that has not read it yet. The answer must be whole by its own length.
+ * Closing a connection with unread input resets it, and a caller that has not read the answer yet
+ * then loses it. The answer must have a content length, so that the caller knows it is complete.
  *
  * @example
  * response.write(body);
--- a/src/relay/eventFramer.ts
+++ b/src/relay/eventFramer.ts
@@ -1,28 +1,28 @@
 const EVENT_END = '\n\n';
 const ID_LINE = /^id: ?(.*)$/m;
-/** A block that grows beyond this without an end is no event: it is passed on as it is. */
+/** A block that exceeds this size without an end is not an event and is passed on unchanged. */
 const MAX_BLOCK_BYTES = 1_048_576;
 
 /**
- * Cuts a stream of server-sent events at the ends of events, byte by byte as they came: what an
- * event parser hands out could not be sent on unchanged.
+ * Splits a stream of server-sent events at the ends of events and keeps all bytes unchanged, which
+ * an event parser would not.
  *
- * Guards a stream that goes on at another backend server: one that stops in the middle of an event
- * leaves a torn one behind, which must not reach the caller, as the whole one follows.
+ * If a backend server stops in the middle of an event, the partial event must not reach the caller:
+ * the server that resumes the stream sends the whole event.
  *
  * @example
- * response.write(framer.push(chunk)); // whole events alone
+ * response.write(framer.push(chunk)); // whole events only
  */
 export class EventFramer {
-  /** Id of the last whole event; empty before the first. */
+  /** Id of the last whole event; empty if there is none. */
   lastEventId = '';
 
-  /** Whole events so far. */
+  /** Number of whole events so far. */
   eventCount = 0;
 
   private remainder: Buffer = Buffer.alloc(0);
 
-  /** Adds bytes; returns the whole events that are there now. */
+  /** Adds bytes; returns the events that are complete now. */
   push(chunk: Buffer): Buffer {
     const bytes = this.remainder.length > 0 ? Buffer.concat([this.remainder, chunk]) : chunk;
     const position = bytes.lastIndexOf(EVENT_END);
@@ -33,14 +33,14 @@
     return this.remainder.length > MAX_BLOCK_BYTES ? Buffer.concat([completeEvents, this.takeRemainder()]) : completeEvents;
   }
 
-  /** What stands behind the last whole event, when the answer has ended as its server meant it. */
+  /** Takes the bytes after the last whole event, for an answer that has ended normally. */
   takeRemainder(): Buffer {
     const { remainder: remainder } = this;
     this.remainder = Buffer.alloc(0);
     return remainder;
   }
 
-  /** Forgets what a server left behind that stopped in the middle of an event. */
+  /** Discards a partial event of a server that broke the stream off. */
   discardPartial(): void {
     this.remainder = Buffer.alloc(0);
   }
--- a/src/relay/leaseWait.ts
+++ b/src/relay/leaseWait.ts
@@ -1,13 +1,13 @@
 import type { RequestFacts } from './requestDialect';
 
 /**
- * How long a request waits for the entry's lease: a part of the time that its caller will wait, so
- * that one which is refused after all has most of its time left to come back. An entry that has
- * just started gets its lease within about a second, with the rest of a site that was killed: a
- * caller that waits is then answered, one that was refused uses up its only other try.
+ * Fraction of the caller's time limit that a request waits for the entry's lease. If the request is
+ * refused after that, its caller has most of the time left to retry. An entry that starts together
+ * with a whole site gets its lease within about a second: a waiting request is then answered, while
+ * an immediate refusal would use up the caller's only retry.
  */
 const LEASE_WAIT_FRACTION = 1 / 8;
-/** Shortest and longest of these waits, in milliseconds. */
+/** Bounds on this wait, in milliseconds. */
 const MIN_LEASE_WAIT_MS = 100;
 const MAX_LEASE_WAIT_MS = 1_500;
 
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -1,4 +1,4 @@
-/** What an entry that shuts down still takes. */
+/** Decides which requests an entry still accepts while it shuts down. */
 import { canFinishWithin } from '../core/routing/answerTime';
 import { BeechliftError } from '../errors/beechliftError';
 import type { AdmittedRequest } from './admitRequest';
@@ -6,18 +6,19 @@
 import type { RequestFacts } from './requestDialect';
 import type { PickedWorker } from './workerPicker';
 
-/** Time after which a caller may ask another entry, in milliseconds. */
+/** Retry-After for callers that can use another entry, in milliseconds. */
 const OTHER_ENTRY_RETRY_MS = 50;
 
 /** Makes the refusal of a request that this entry cannot answer before it ends. */
-export const makeLeavingError = (): BeechliftError => new BeechliftError('entryLeaving', 'this entry shuts down before the answer could end', {
+export const makeLeavingError = (): BeechliftError => new BeechliftError('entryLeaving', 'this entry shuts down before the answer would be complete', {
   retryAfterMs: OTHER_ENTRY_RETRY_MS,
 });
 
 /**
- * Tells whether an entry ends late enough to answer a request whole; one that stays always does.
+ * Returns whether an entry can complete the answer to a request before it shuts down; always true
+ * if it does not shut down.
  *
- * @param picked where the request goes; without it, the fastest backend server is assumed
+ * @param picked the chosen backend server; the fastest one is assumed without it
  * @example
  * if (!canAnswerInTime(site, admitted, facts)) throw makeLeavingError();
  */
--- a/src/relay/openRequests.ts
+++ b/src/relay/openRequests.ts
@@ -2,23 +2,23 @@
 import { HeldCalls } from '../utils/heldCalls';
 import type { RelayMetrics } from './relayMetrics';
 
-/** A request that is under way. */
+/** A request in progress. */
 export interface OpenRequest {
-  /** Serves it; never rejects. */
+  /** Serves the request; never rejects. */
   readonly run: () => Promise<void>;
-  /** Answers it finally, unless its caller has the beginning of an answer already. */
+  /** Refuses the request because the entry shuts down, unless an answer has started. */
   readonly endWithEntry: () => void;
-  /** Ends an answer that has begun, so that what came of it does not look whole. */
+  /** Aborts an answer that has started, so that it does not look complete. */
   readonly breakOff: () => void;
 }
 
-/** The connection that an answer goes out on. */
+/** The request and response of an answer. */
 interface AnswerConnection {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
 }
 
-/** Resolves once an answer has been handed over to the network, or its connection has ended. */
+/** Resolves once an answer was handed to the operating system, or its connection has closed. */
 const waitWritten = ({ request: { socket }, response }: AnswerConnection): Promise<void> => (
   response.writableFinished || response.destroyed || socket.destroyed
     ? Promise.resolve()
@@ -34,7 +34,7 @@
 );
 
 /**
- * The requests that an entry has taken and whose answers have not been written to the last byte.
+ * The accepted requests of an entry whose answers are not fully written.
  *
  * @example
  * await openRequests.serve(request, { request: raw, response });
@@ -45,17 +45,17 @@
 
   private readonly idle = new HeldCalls();
 
-  /** Requests that were taken so far. */
+  /** Number of requests that were accepted so far. */
   acceptedCount = 0;
 
   constructor(private readonly metrics: Pick<RelayMetrics, 'open'>) {}
 
-  /** Requests that are open. */
+  /** Number of open requests. */
   get count(): number {
     return this.open.size;
   }
 
-  /** Serves a request, which is open until its answer is written. */
+  /** Serves a request; it is open until its answer is written. */
   async serve(request: OpenRequest, connection: AnswerConnection): Promise<void> {
     this.open.add(request);
     this.acceptedCount += 1;
@@ -67,17 +67,17 @@
     if (this.open.size === 0) this.idle.release();
   }
 
-  /** Resolves when no request is open, after the time at the latest. */
+  /** Resolves once no request is open, or after `maxMs` milliseconds. */
   waitIdle(maxMs: number): Promise<void> {
     return this.open.size === 0 ? Promise.resolve() : this.idle.hold(Math.max(0, maxMs));
   }
 
-  /** Answers all that have no answer yet. */
+  /** Refuses all requests whose answers have not started. */
   endAll(): void {
     [...this.open].forEach((request) => request.endWithEntry());
   }
 
-  /** Breaks off the answers that are under way. */
+  /** Aborts all answers in progress. */
   abortAll(): void {
     [...this.open].forEach((request) => request.breakOff());
   }
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -11,33 +11,34 @@
 import type { ServerCrash } from './crashRecords';
 
 /**
- * Silence of the leader after which an entry decides by itself, in milliseconds: the leader sends a
- * sign of life each 100 ms while requests wait, and requests have a target of 400 ms or more.
+ * Time without a message of the leader after which an entry places requests itself, in
+ * milliseconds. The leader sends a keepalive every 100 ms while requests wait, and the target
+ * latency of a request is 400 ms or more.
  */
 const LEADER_SILENCE_MS = 250;
-/** How long an entry goes on deciding by itself, in milliseconds. */
+/** How long an entry then keeps placing requests itself, in milliseconds. */
 const SUSPENSION_MS = 400;
-/** Reports kept for one message; the oldest go, as the leader expires what it does not hear of. */
+/** Most reports in one message; the oldest are dropped, and the leader expires their slots. */
 const MAX_REPORTS = 2_000;
 /**
- * Longest that news of the beginning of a stream wait for a message that goes out anyway, in
- * milliseconds: by it the leader knows what a server still has to read.
+ * Longest time that the report of a stream's first event waits to share a message with others, in
+ * milliseconds. The leader uses it to estimate how many prompt tokens a server has left to process.
  */
 const STREAM_START_FLUSH_MS = 20;
 
-/** What the place client needs. */
+/** Dependencies of the place client. */
 export interface PlaceClientParts {
-  /** Names this start of the entry. */
+  /** Id of this run of the entry. */
   readonly entryId: string;
-  /** The leader of control; undefined while none is known. */
+  /** Returns the connection to the control leader; undefined while none is known. */
   readonly findLeader: () => RpcLink<SiteClient> | undefined;
-  /** Entries that speak to the same leader. */
+  /** Returns the number of entries that use the same leader. */
   readonly countEntries: () => number;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** A request whose decision has not come. */
+/** A slot request that is not decided yet. */
 interface PendingPlacement {
   readonly request: PlaceRequest;
   readonly resolve: (reply: PlaceReply | undefined) => void;
@@ -47,34 +48,35 @@
 interface LeaderStream {
   readonly link: RpcLink<SiteClient>;
   readonly stream: ClientStream<PlaceNews>;
-  /** Number of the last message that was sent, and of the last that asked for places. */
+  /** Numbers of the last message that was sent and of the last one with slot requests. */
   lastSent: number;
   lastAsked: number;
-  /** Number of the last message that the leader is known to have taken in. */
+  /** Number of the last message that the leader acknowledged. */
   lastAcknowledged: number;
-  /** Since when something is owed, monotonic milliseconds. */
+  /** Time since which a reply is due, monotonic milliseconds. */
   replyDueSince: number;
 }
 
 /**
- * Asks the leader which model engine takes a request, and tells it how that goes, over one stream:
- * what an entry has to say in one turn of its loop is one message, and a request that waits costs
- * nothing until it is decided. As calls, one for each request and each report, they would fill the
- * leader's processor in a burst: it answers late, and entries choose for themselves.
+ * Asks the leader for slots at model engines and reports the progress of the requests that use
+ * them, over one stream. Everything that is sent in one turn of the event loop forms one message,
+ * and a waiting slot request costs nothing until it is decided. Single calls for each request and
+ * report would overload the leader in a burst: it would answer late, and entries would place
+ * requests themselves.
  *
- * Guards requests against a leader that is dead, frozen or cut off: after a short silence, and for
- * a while from then on, the entry chooses by itself.
+ * If the leader does not answer, because it is down, frozen or cut off, the entry places requests
+ * itself after a short timeout and for some time from then on.
  *
  * @example
  * const reply = await client.place(request, deadlineAt);
- * if (!reply) chooseHere();
+ * if (!reply) chooseLocally();
  */
 export class PlaceClient {
   private suspendedUntil = -Infinity;
 
   private readonly waiting = new Map<string, PendingPlacement>();
 
-  /** Places that the leader has given and that are in use. */
+  /** Ids of the slots that the leader has granted and that are in use. */
   private readonly activePlaces = new Set<string>();
 
   private requests: PlaceRequest[] = [];
@@ -83,7 +85,7 @@
 
   private readonly crashes = new CrashRecords();
 
-  /** Suspect requests that were served, which the leader has not heard of. */
+  /** Fingerprints of suspect requests that were served, not reported to the leader yet. */
   private served: string[] = [];
 
   private leaderStream: LeaderStream | undefined;
@@ -92,14 +94,14 @@
 
   private flushTimer: NodeJS.Timeout | undefined;
 
-  /** When the reports that wait go out, monotonic milliseconds. */
+  /** When the waiting reports are sent, monotonic milliseconds. */
   private flushAt = 0;
 
   private watchdog: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: PlaceClientParts) {}
 
-  /** Resolves when it is decided; with undefined when the leader cannot be asked. */
+  /** Resolves with the leader's decision, or with undefined if the leader cannot be reached. */
   place(request: PlaceRequest, deadlineAt: number): Promise<PlaceReply | undefined> {
     const now = this.parts.clock.now();
     if (!this.canAsk(now) || now >= deadlineAt) return Promise.resolve(undefined);
@@ -110,7 +112,7 @@
     });
   }
 
-  /** Takes a request back that nobody waits for any more. */
+  /** Cancels a slot request that is no longer needed. */
   cancel(placeId: string): void {
     const pending = this.waiting.get(placeId);
     if (!pending) return;
@@ -119,7 +121,7 @@
     pending.resolve(undefined);
   }
 
-  /** Tells how a placed request goes: at once when it has ended, as others wait for its slot. */
+  /** Reports the progress of a request; the end at once, as other requests wait for the slot. */
   report(report: PlacedReport): void {
     if (report.phase !== 'running') this.activePlaces.delete(report.placeId);
     this.reports.push(report);
@@ -129,23 +131,23 @@
     else this.scheduleFlush(computePaceDelayMs(this.parts.countEntries()));
   }
 
-  /** Tells that a server ended under a request. */
+  /** Reports that a server crashed while it ran a request. */
   reportCrash(crash: ServerCrash): void {
     this.crashes.add(crash, this.parts.clock.now());
     this.flushTask.schedule();
   }
 
-  /** Whether servers ended here of late, under any request. */
+  /** Whether this entry has recently seen a server crash under any request. */
   get hasCrashes(): boolean {
     return this.crashes.hasCrashes(this.parts.clock.now());
   }
 
-  /** Counts the servers that ended here of late under a request. */
+  /** Counts the servers that this entry has recently seen crash under a request. */
   countCrashes(fingerprint: string): number {
     return this.crashes.countServers(fingerprint, this.parts.clock.now());
   }
 
-  /** Tells that a request was served under which a server had ended before. */
+  /** Reports that a request was served under which a server had crashed before. */
   reportServed(fingerprint: string): void {
     this.crashes.forget(fingerprint);
     this.served = [...this.served, fingerprint].slice(-MAX_REPORTS);
@@ -202,7 +204,7 @@
     this.startWatchdog();
   }
 
-  /** The stream to the leader; another leader knows nothing of what the one before was asked. */
+  /** Returns the stream to the leader. A new leader is sent all pending requests and crashes. */
   private findStream(link: RpcLink<SiteClient>): LeaderStream {
     if (this.leaderStream?.link === link) return this.leaderStream;
     this.closeStream();
@@ -213,7 +215,7 @@
         if (this.leaderStream?.stream === stream) this.takeDecisions(decisions);
       },
       close: (error) => {
-        if (this.leaderStream?.stream === stream) this.suspendLeader(error?.message ?? 'it ended the stream');
+        if (this.leaderStream?.stream === stream) this.suspendLeader(error?.message ?? 'the leader ended the stream');
       },
     });
     this.leaderStream = {
@@ -234,20 +236,20 @@
     this.waiting.delete(reply.placeId);
     if (reply.code === 0) this.activePlaces.add(reply.placeId);
     if (pending) pending.resolve(reply);
-    // Guards a slot that was given to a request which had chosen by itself meanwhile.
+    // The request was placed by this entry or cancelled meanwhile: its slot must not stay taken.
     else if (reply.code === 0) this.report({ placeId: reply.placeId, phase: 'dropped', ...NO_TIMINGS });
   }
 
-  /** Whether the leader has something to say: what only tells it something it does not answer. */
+  /** Whether the leader owes a reply: it replies to slot requests only, not to reports. */
   private isReplyDue(leaderStream: LeaderStream): boolean {
     return leaderStream.lastAcknowledged < leaderStream.lastAsked || this.waiting.size > 0;
   }
 
-  /** Looks after the leader while it owes an answer. */
+  /** Checks the leader for timeouts while a reply is due. */
   private startWatchdog(): void {
     this.watchdog ??= setTimeout(() => {
       this.watchdog = undefined;
-      // What came while this process was busy is read first: it is no silence of the leader.
+      // Input that arrived while this process was busy is read first, so that it counts.
       setImmediate(() => this.checkSilence());
     }, LEADER_SILENCE_MS / 2);
   }
@@ -261,11 +263,11 @@
       return;
     }
     leaderStream.stream.suspect();
-    this.suspendLeader(`silent for ${Math.round(silentMs)} ms`);
+    this.suspendLeader(`no message for ${Math.round(silentMs)} ms`);
   }
 
   private suspendLeader(reason: string): void {
-    this.parts.logger.warn('requests are placed here: the leader is out of reach', { reason });
+    this.parts.logger.warn('control leader is unreachable, this entry places requests itself', { reason });
     this.suspendedUntil = this.parts.clock.now() + SUSPENSION_MS;
     this.closeStream();
     this.resolveWaiting();
--- a/src/relay/rawHeaders.ts
+++ b/src/relay/rawHeaders.ts
@@ -1,6 +1,6 @@
 import type { RawHeaders } from './requestDialect';
 
-/** Headers that concern one connection and are never passed on (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'te',
   'trailer', 'transfer-encoding', 'upgrade', 'expect',
@@ -17,7 +17,7 @@
     [headers[2 * position] ?? '', headers[2 * position + 1] ?? '']))
 );
 
-/** Value of the first header of a name, which is given in lower case; undefined without one. */
+/** Returns the first value of a header, or undefined; the name must be in lower case. */
 export const findHeader = (headers: RawHeaders, name: string): string | undefined => {
   const position = headers.findIndex((text, index) => (
     index % 2 === 0 && text.length === name.length && text.toLowerCase() === name));
@@ -29,7 +29,7 @@
 );
 
 /**
- * Leaves out the headers that concern one connection, and others by name.
+ * Removes hop-by-hop headers and the excluded ones.
  *
  * @param excluded names in lower case
  * @example
--- a/src/relay/readDocument.ts
+++ b/src/relay/readDocument.ts
@@ -2,8 +2,8 @@
 import { unpackText } from '../utils/packedText';
 
 /**
- * Reads the document that a reply brings; empty where it brings none. Throws for one that is packed
- * and cannot be unpacked.
+ * Returns the document in a reply; empty if there is none. Throws if a packed document cannot be
+ * unpacked.
  *
  * @example
  * const document = readDocument(reply);
--- a/src/relay/readRequestBody.ts
+++ b/src/relay/readRequestBody.ts
@@ -1,14 +1,14 @@
 import type { IncomingMessage } from 'node:http';
 import { BeechliftError } from '../errors/beechliftError';
 
-/** Longest time that a caller may take for its body, in milliseconds. */
+/** Longest time that a caller may take to send its body, in milliseconds. */
 const BODY_TIMEOUT_MS = 30_000;
 
 /**
- * Reads a whole body. Nothing is sent on before it is whole, so a request whose caller breaks off
- * in the middle has not run.
+ * Reads a whole body. A request is forwarded only once its body is complete, so a request whose
+ * caller disconnects before that has not run.
  *
- * @param maxBytes a longer body is refused without being kept
+ * @param maxBytes a longer body is refused and discarded
  * @example
  * const body = await readRequestBody(request, 4_194_304);
  */
@@ -18,17 +18,17 @@
 ): Promise<Buffer> => new Promise((resolve, reject) => {
   const declared = Number(request.headers['content-length'] ?? 0);
   if (declared > maxBytes) {
-    reject(new BeechliftError('bodyTooLarge', `the body has ${declared} bytes, at most ${maxBytes} are taken`));
+    reject(new BeechliftError('bodyTooLarge', `the body has ${declared} bytes, at most ${maxBytes} are allowed`));
     return;
   }
-  // One that is destroyed tells nothing any more: neither its end nor an error would come.
+  // A destroyed request emits neither 'end' nor 'error'.
   if (request.destroyed) {
-    reject(new BeechliftError('callerGone', 'the caller left before its body was read'));
+    reject(new BeechliftError('callerGone', 'the caller disconnected before its body was read'));
     return;
   }
   const chunks: Buffer[] = [];
   let length = 0;
-  const timer = setTimeout(() => reject(new BeechliftError('bodyTooSlow', `the body was not whole after ${BODY_TIMEOUT_MS} ms`)), BODY_TIMEOUT_MS);
+  const timer = setTimeout(() => reject(new BeechliftError('bodyTooSlow', `the body was not complete after ${BODY_TIMEOUT_MS} ms`)), BODY_TIMEOUT_MS);
   const settle = (run: () => void): void => {
     clearTimeout(timer);
     run();
@@ -36,8 +36,8 @@
   request.on('data', (chunk: Buffer) => {
     length += chunk.length;
     if (length <= maxBytes) chunks.push(chunk);
-    else settle(() => reject(new BeechliftError('bodyTooLarge', `the body has more than ${maxBytes} bytes`)));
+    else settle(() => reject(new BeechliftError('bodyTooLarge', `the body exceeds the limit of ${maxBytes} bytes`)));
   });
   request.on('end', () => settle(() => resolve(chunks.length === 1 ? chunks[0] as Buffer : Buffer.concat(chunks))));
-  request.on('error', (cause) => settle(() => reject(new BeechliftError('callerGone', 'the caller broke off its body', { cause }))));
+  request.on('error', (cause) => settle(() => reject(new BeechliftError('callerGone', 'the caller disconnected while it sent its body', { cause }))));
 });
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -17,23 +17,23 @@
 import { WorkerConnections } from './workerConnections';
 import { WorkerPicker } from './workerPicker';
 
-/** What an entry of a routed site is started with. */
+/** Settings of an entry of a routed site. */
 export interface RelaySettings {
   readonly zone: string;
-  /** IP and port where callers connect. */
+  /** IP address and port that callers connect to. */
   readonly callerAddress: string;
-  /** gRPC addresses of control replicas that the settings name. */
+  /** Returns the gRPC addresses of the control replicas in the settings. */
   readonly readSeeds: () => readonly string[];
   readonly retryBounds: RetryBounds;
-  /** How long callers may use an answer to where they should connect, in milliseconds. */
+  /** How long callers may cache the addresses of entries, in milliseconds. */
   readonly locateMs: number;
   /** How long a shutdown may take, in milliseconds. */
   readonly graceMs: number;
-  /** For experiments; deployments leave all on. */
+  /** Mechanisms that are off, for experiments; deployments leave all on. */
   readonly mechanismsOff?: readonly Mechanism[];
 }
 
-/** What an entry of a routed site needs from outside. */
+/** Dependencies and settings of an entry of a routed site. */
 export interface RelayParts {
   readonly settings: RelaySettings;
   readonly readRouting: RoutingReader;
@@ -41,16 +41,16 @@
   readonly logger: Logger;
 }
 
-/** An entry of a routed site that runs. */
+/** A running entry of a routed site. */
 export interface RunningRelay {
   readonly site: RelaySite;
   readonly app: FastifyInstance;
   readonly metrics: RelayMetrics;
-  /** Ends without cutting a request off, as far as the grace allows. */
+  /** Shuts down; requests are completed as far as the grace period allows. */
   readonly shutDown: () => Promise<void>;
 }
 
-/** How often idle connections to servers that left are closed, and limits are put in force. */
+/** Interval at which limits are applied and idle connections to removed servers are closed. */
 const REFRESH_INTERVAL_MS = 500;
 
 const refreshLimitsAndConnections = (site: RelaySite, app: FastifyInstance, connections: WorkerConnections): void => {
@@ -63,7 +63,7 @@
 };
 
 /**
- * Starts an entry of a routed site; its caller port is still to be opened.
+ * Starts an entry of a routed site. The caller of this function opens the port.
  *
  * @example
  * const relay = startRelay({ settings, readRouting, dialect, logger });
@@ -128,7 +128,7 @@
     watch.stop();
     connections.close();
     await app.close();
-    logger.info('entry ended');
+    logger.info('entry shut down');
   };
   let closing: Promise<void> | undefined;
   return {
--- a/src/relay/relayServer.ts
+++ b/src/relay/relayServer.ts
@@ -8,12 +8,12 @@
 import { RoutedRequest } from './routedRequest';
 import type { RequestParts } from './requestParts';
 
-/** Largest head that is read at all; the routing document bounds it further. */
+/** Largest request head that is read; the routing document may set a lower limit. */
 const MAX_HEAD_BYTES = 65_536;
-/** Until a document says otherwise. */
+/** Limits until a routing document is in force. */
 const DEFAULT_IDLE_MS = 15_000;
 const DEFAULT_HEAD_TIMEOUT_MS = 3_000;
-/** How often connections are looked at whose heads take too long. */
+/** Interval of the check for request heads that take too long. */
 const HEAD_CHECK_INTERVAL_MS = 1_000;
 const BAD_REQUEST = 400;
 const HEAD_TOO_LARGE = 431;
@@ -24,8 +24,8 @@
 );
 
 /*
- * Guards backend servers against a request that cannot be written to any of them: each would be
- * taken for out of reach. One with several hosts is to be answered 400 (RFC 9112, section 3.2).
+ * A request with several Host headers must be answered with 400 (RFC 9112, section 3.2). It cannot
+ * be forwarded, so each backend server would be treated as unreachable.
  */
 const hasManyHosts = ({ rawHeaders }: IncomingMessage): boolean => (
   rawHeaders.filter((text, index) => (
@@ -38,8 +38,8 @@
 };
 
 /**
- * Makes the server that callers connect to: every request, whatever its method and path, goes to
- * the routing, with its body unread.
+ * Makes the server that callers connect to. Every request, whatever its method and path, is routed
+ * before its body is read.
  *
  * @example
  * const app = makeRelayServer(parts);
@@ -60,9 +60,9 @@
     },
     clientErrorHandler: (error, socket) => callerConnections.handleError(error, socket),
     forceCloseConnections: 'idle',
-    // A request on a connection that outlasts the port is answered like any other.
+    // Requests on connections that stay open after the port closes are answered as usual.
     return503OnClosing: false,
-    // The framework's own router knows one path; the target that came is kept beside.
+    // The framework routes one path only, so the received target is stored separately.
     rewriteUrl: (request) => {
       targets.set(request, request.url ?? '/');
       return '/';
@@ -75,7 +75,7 @@
   app.addHook('onRequest', async (request, reply) => {
     reply.hijack();
     const { raw } = request;
-    // It crossed the end of its connection, where no answer to it can be written.
+    // The connection was ended before the request arrived: no answer can be written.
     if (!raw.socket.writable) {
       raw.resume();
       return;
@@ -97,10 +97,10 @@
 };
 
 /**
- * Puts the limits of a routing document in force for connections to callers.
+ * Applies the limits of a routing document to the connections of callers.
  *
- * Guards against a request that crosses the close of an idle connection: callers may use one that
- * was idle for most of the limit, so it is closed a little after the limit, not before.
+ * Callers may reuse a connection that was idle for almost the whole limit. An idle connection is
+ * therefore closed shortly after the limit, never before it.
  */
 export const applyCallerLimits = (app: FastifyInstance, limits: CallerLimits): void => {
   app.server.keepAliveTimeout = limits.idleTimeoutMs;
--- a/src/relay/relayShutdown.ts
+++ b/src/relay/relayShutdown.ts
@@ -6,24 +6,24 @@
 import type { OpenRequests } from './openRequests';
 import type { RelaySite } from './relaySite';
 
-/** Part of the grace after which callers that were told of this entry are taken no more. */
+/** Fraction of the grace period after which the port closes, even if callers may still connect. */
 const LOCATE_FRACTION = 0.5;
-/** Part of the grace after which requests without the beginning of an answer are given up. */
+/** Fraction of the grace period after which requests without a started answer are refused. */
 const ANSWER_FRACTION = 0.9;
-/** Part of the grace after which streams are broken off; the rest is for the process to end. */
+/** Fraction of the grace period after which streams are aborted; the rest is for the exit. */
 const STREAM_FRACTION = 0.95;
-/** How long no request must come before the connections that callers keep are closed. */
+/** Time without a request, in milliseconds, before callers' open connections are closed. */
 const QUIET_PERIOD_MS = 200;
 
-/** What a shutdown needs. */
+/** Dependencies and time limits of a shutdown. */
 export interface RelayShutdownParts {
   readonly site: Pick<RelaySite, 'beginLeaving'>;
-  /** Takes callers. */
+  /** Accepts the connections of callers. */
   readonly server: Server;
   readonly openRequests: OpenRequests;
-  /** Tells the leader of control that this entry leaves. */
+  /** Reports to the control leader that this entry shuts down. */
   readonly announceLeaving: () => Promise<void>;
-  /** How long callers may use an answer to where they should connect, in milliseconds. */
+  /** How long callers may cache the addresses of entries, in milliseconds. */
   readonly locateMs: number;
   /** How long the shutdown may take, in milliseconds. */
   readonly graceMs: number;
@@ -32,9 +32,10 @@
 }
 
 /**
- * Ends an entry without leaving a request unanswered. Callers are no longer sent here from the
- * first moment; those that were keep what they were told for a while, and are served meanwhile as
- * far as their answers end in time. Whoever has no answer when the grace runs out is told so.
+ * Shuts an entry down without leaving a request unanswered. New callers are sent to other entries
+ * from the start. Callers that have cached this entry's address are still served for a while, if
+ * their answers can end in time. Requests that have no answer at the end of the grace period get
+ * an error.
  *
  * @example
  * await new RelayShutdown(parts).run();
@@ -42,7 +43,7 @@
 export class RelayShutdown {
   constructor(private readonly parts: RelayShutdownParts) {}
 
-  /** Resolves when no request is open. */
+  /** Resolves once no request is open. */
   async run(): Promise<void> {
     const {
       site, server, openRequests, announceLeaving: announceLeaving, locateMs, graceMs, clock, logger,
@@ -50,26 +51,27 @@
     const startedAt = clock.now();
     const readRemainingMs = (fraction: number): number => startedAt + fraction * graceMs - clock.now();
     site.beginLeaving(startedAt + ANSWER_FRACTION * graceMs);
-    logger.info('entry leaves', { graceMs });
-    await announceLeaving().catch((error: unknown) => logger.error('the leader was not told', { reason: String(error) }));
+    logger.info('entry shuts down', { graceMs });
+    await announceLeaving().catch((error: unknown) => logger.error('the shutdown was not reported to the leader', { reason: String(error) }));
     await pause(Math.max(0, Math.min(locateMs, readRemainingMs(LOCATE_FRACTION))));
-    // The server's own close would destroy connections whose answers are ended, but not written.
+    // `http.Server.close` would destroy connections whose answers are ended but not fully written.
     NetServer.prototype.close.call(server);
     await this.waitQuiet(() => readRemainingMs(ANSWER_FRACTION));
-    // Those that are open now are given up as the grace runs out.
+    // Refuses the requests that are still open when the grace period ends.
     logger.info('entry closes its connections', { tookMs: Math.round(clock.now() - startedAt), open: openRequests.count });
     openRequests.endAll();
     await openRequests.waitIdle(readRemainingMs(STREAM_FRACTION));
-    // Requests that came meanwhile are told as well.
+    // Refuses requests that arrived meanwhile.
     openRequests.endAll();
     openRequests.abortAll();
     server.closeAllConnections();
   }
 
   /*
-   * Guards callers whose answers did not announce that the connection ends: their next request is
-   * answered rather than met by the close. What came while this process was held up is read first,
-   * as timers run before sockets.
+   * Waits until callers send no more requests. Callers whose last answer did not announce the end
+   * of the connection may send another request, which must be answered before the connection
+   * closes. Input that arrived while this process was busy is read first, as timers run before
+   * sockets.
    */
   private async waitQuiet(readRemainingMs: () => number): Promise<void> {
     const { openRequests } = this.parts;
@@ -77,7 +79,7 @@
     const { acceptedCount: acceptedCount } = openRequests;
     await pause(Math.max(0, Math.min(QUIET_PERIOD_MS, readRemainingMs())));
     await readWaiting();
-    // One that came in the turn in which the last one ended is open, and was counted before.
+    // A request that arrived in the turn in which the last one ended was counted above and is open.
     const isQuiet = openRequests.count === 0 && openRequests.acceptedCount === acceptedCount;
     if (!isQuiet && readRemainingMs() > 0) await this.waitQuiet(readRemainingMs);
   }
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -17,13 +17,13 @@
 import { HeldCalls } from '../utils/heldCalls';
 import { readDocument } from './readDocument';
 
-/** What an entry does at present, as control and the readiness check see it. */
+/** State of an entry, as reported to control and by the readiness check. */
 export type RelayState = 'starting' | 'active' | 'leaving';
 
-/** Requests that wait for a lease, at most: beyond it they are refused at once. */
+/** Most requests that wait for a lease; more are refused at once. */
 const MAX_LEASE_WAITERS = 500;
 
-/** What a relay site is made from. */
+/** Dependencies and identity of a relay site. */
 export interface RelaySiteParts {
   readonly entryId: string;
   readonly callerAddress: string;
@@ -33,15 +33,15 @@
   readonly suspension: SuspensionWatch;
   readonly logger: Logger;
   readonly retryBounds: RetryBounds;
-  /** All are on where none are named. */
+  /** All are on by default. */
   readonly mechanisms?: Mechanisms;
 }
 
 /**
- * What an entry of a routed site knows, and until when it may rely on it.
+ * State of the site as an entry received it from control, and the lease on it.
  *
- * Guards against serving what a newer document forbids: without a lease that was asked for recently
- * enough, or after the machine may have been suspended, the entry takes no new requests.
+ * Without a valid lease, or after the machine may have been suspended, the entry accepts no new
+ * requests: a newer routing document may forbid them.
  *
  * @example
  * site.applyReply(reply, sentAt, epoch);
@@ -58,22 +58,22 @@
 
   readonly retries: RetryBudget;
 
-  /** Requests that are known to end backend servers. */
+  /** Requests that are known to crash backend servers. */
   readonly suspects = new SuspectList();
 
-  /** When this entry ends, monotonic milliseconds. */
+  /** Until when answers may run if this entry shuts down, monotonic milliseconds. */
   private endsAt = Infinity;
 
   private documentDigest = '';
 
-  /** The leader's table of backend servers that is held here. */
+  /** Epoch of the leader's server table that this entry has a copy of; empty before the first. */
   workersEpoch = '';
 
   private workersRevision = 0;
 
   private leaseUntil = 0;
 
-  /** When the last question left that was answered, monotonic milliseconds. */
+  /** When the latest answered watch request was sent, monotonic milliseconds. */
   private lastAnsweredSentAt = 0;
 
   private leaseEpoch = -1;
@@ -87,7 +87,7 @@
     this.retries = new RetryBudget(parts.retryBounds, () => this.entryCount);
   }
 
-  /** Names this start of the entry. */
+  /** Id of this run of the entry. */
   get entryId(): string {
     return this.parts.entryId;
   }
@@ -97,7 +97,7 @@
     return this.parts.zone;
   }
 
-  /** Whether new requests may be taken. */
+  /** Whether new requests may be accepted. */
   get isServing(): boolean {
     const { clock, suspension } = this.parts;
     return this.table !== undefined
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Waits until new requests may be taken; resolves after the time also when they may not.
+   * Waits until new requests may be accepted, at most `maxMs` milliseconds.
    *
    * @example
    * await site.waitServing(300);
@@ -116,12 +116,12 @@
     return this.leaseWaiters.hold(maxMs);
   }
 
-  /** Whether this entry shuts down: callers are sent elsewhere. */
+  /** Whether this entry shuts down and callers are sent to other entries. */
   get isLeaving(): boolean {
     return this.endsAt !== Infinity;
   }
 
-  /** Milliseconds that are left for answers; Infinity unless this entry shuts down. */
+  /** Time that remains for answers, in milliseconds; Infinity unless this entry shuts down. */
   get remainingMs(): number {
     return this.endsAt - this.parts.clock.now();
   }
@@ -135,32 +135,32 @@
     this.endsAt = endsAt;
   }
 
-  /** What control and readiness checks are told. */
+  /** State that is reported to control and to readiness checks. */
   get state(): RelayState {
     if (this.isLeaving) return 'leaving';
     return this.isServing && this.workersEpoch !== '' ? 'active' : 'starting';
   }
 
   /**
-   * Entries that callers may be sent to; none while this entry cannot tell. Not this one from the
-   * moment at which it begins to leave, before the leader has heard of it.
+   * Lists the entries that callers may be sent to; none without a lease. Leaves this entry out as
+   * soon as it shuts down, before the leader knows of it.
    */
   listEntries(): readonly EntryRecord[] {
     if (!this.isServing) return [];
     return this.entries.records.filter(({ id }) => !(this.isLeaving && id === this.entryId));
   }
 
-  /** Entries that hold a lease, this one included. */
+  /** Number of entries that hold a lease, including this one. */
   get entryCount(): number {
     return this.leasedEntryCount;
   }
 
-  /** How long the leader may hold a question of this entry, in milliseconds. */
+  /** How long the leader may hold a watch request of this entry, in milliseconds. */
   get watchHoldMs(): number {
     return Math.round(computeWatchHoldMs(this.entryCount));
   }
 
-  /** What the leader of control is asked with. */
+  /** Builds a watch request to the control leader. */
   buildWatchRequest(holdMs: number): WatchRequest {
     const {
       entryId, callerAddress, zone, clock,
@@ -184,10 +184,10 @@
   }
 
   /**
-   * Takes in what the leader told.
+   * Applies a reply of the leader.
    *
-   * @param sentAt when the request left, monotonic milliseconds: the lease counts from there
-   * @param epoch of the suspension watch when it left
+   * @param sentAt when the request was sent, monotonic milliseconds; the lease starts there
+   * @param epoch epoch of the suspension watch when the request was sent
    */
   applyReply(reply: WatchReply, sentAt: number, epoch: number): void {
     if (!this.applyDocument(reply)) return;
@@ -204,22 +204,22 @@
 
   private applyDocument(reply: WatchReply): boolean {
     const currentVersion = this.table?.routing.version ?? 0;
-    // Guards against a reply that was overtaken: versions only go up.
+    // Versions only increase: this reply was overtaken by a newer one.
     if (reply.documentVersion < currentVersion) return false;
     if (reply.documentDigest === this.documentDigest) return true;
     const document = this.unpackDocument(reply);
     if (document === '') return false;
     const { routing, faults } = this.parts.readRouting(document);
     if (!routing) {
-      this.parts.logger.error('accepted document cannot be read', { faults: faults.slice(0, 3).join('; ') });
+      this.parts.logger.error('accepted routing document cannot be parsed', { faults: faults.slice(0, 3).join('; ') });
       return false;
     }
     this.table = new RouteTable(routing);
     this.documentDigest = reply.documentDigest;
-    this.parts.logger.info('document in force', {
+    this.parts.logger.info('routing document in force', {
       version: routing.version,
       routes: routing.routes.length,
-      // Long where answers came late; short where they came without the document.
+      // A long time means late replies, a short one that earlier replies lacked this document.
       unansweredMs: Math.round(this.parts.clock.now() - this.lastAnsweredSentAt),
     });
     return true;
@@ -229,7 +229,7 @@
     try {
       return readDocument(reply);
     } catch (error) {
-      this.parts.logger.error('document cannot be unpacked', { reason: (error as Error).message });
+      this.parts.logger.error('routing document cannot be unpacked', { reason: (error as Error).message });
       return '';
     }
   }
--- a/src/relay/requestDialect.ts
+++ b/src/relay/requestDialect.ts
@@ -1,59 +1,62 @@
 import type { RoutedAccount } from '../manifest/routing';
 
-/** Headers as they came, name and value in turn. */
+/** Headers as received, names and values alternating. */
 export type RawHeaders = readonly string[];
 
-/** Tokens of a request. */
+/** Token counts of a request. */
 export interface RequestTokens {
   readonly prompt: number;
-  /** Most tokens of the answer. */
+  /** Limit on the tokens of the answer. */
   readonly output: number;
-  /** Tokens that the answer is expected to have, `output` where its caller gave no estimate. */
+  /** Expected tokens of the answer; equals `output` if the caller sent no estimate. */
   readonly expected: number;
 }
 
-/** What the headers of a request tell. */
+/** Fields that are read from the headers of a request. */
 export interface RequestFacts {
-  /** The caller's own id of this attempt; empty when it gave none. */
+  /** The caller's id of this attempt; empty if it sent none. */
   readonly requestId: string;
-  /** Milliseconds that the caller will wait; undefined when it did not tell. */
+  /** How long the caller will wait, in milliseconds; undefined if it sent no limit. */
   readonly patienceMs: number | undefined;
-  /** The key that the caller holds; empty when it sent none. */
+  /** The caller's key; empty if it sent none. */
   readonly key: string;
-  /** Undefined when they were not told. */
+  /** Undefined if the caller sent none. */
   readonly tokens: RequestTokens | undefined;
 }
 
-/** What the headers of an answer tell. */
+/** Fields that are read from the headers of an answer. */
 export interface AnswerFacts {
-  /** Id of the request that the answer says it belongs to; empty when it names none. */
+  /** Id of the request that the answer belongs to; empty if the answer names none. */
   readonly requestId: string;
-  /** Whether the backend server states that it did not run the request. */
+  /** Whether the backend server reports that it did not run the request. */
   readonly isNotExecuted: boolean;
-  /** Whether something on the way changed the body, which no backend server was asked to do. */
+  /** Whether the body has a content encoding, which was not requested from the backend server. */
   readonly isEncoded: boolean;
-  /** Milliseconds for which the backend server wants no more requests; 0 where it names none. */
+  /** Time for which the backend server wants no requests, in milliseconds; 0 if it sent none. */
   readonly restMs: number;
-  /** Whether the backend server says that it leaves. */
+  /** Whether the backend server reports that it is leaving. */
   readonly isLeaving: boolean;
 }
 
-/** What the entry adds to a request that it passes on. */
+/** Values that the entry adds to a forwarded request. */
 export interface ForwardedContext {
   readonly workerId: string;
   readonly account: RoutedAccount | undefined;
   readonly remainingMs: number;
-  /** Last event that the caller has of a stream that goes on elsewhere; empty otherwise. */
+  /** Id of the caller's last event if the request resumes a stream; empty otherwise. */
   readonly lastEventId: string;
 }
 
 /**
- * The headers by which a site's callers and backend servers speak of requests. One dialect serves a
- * whole process; it is the only place that knows their names.
+ * Reads and builds the headers that a site's callers and backend servers use. A process has one
+ * dialect, which is the only code that contains the header names.
  */
 export interface RequestDialect {
   readonly readRequest: (headers: RawHeaders) => RequestFacts;
   readonly readAnswer: (headers: RawHeaders) => AnswerFacts;
-  /** Headers for the backend server: the caller's, less those of one connection and our own. */
+  /**
+   * Builds the headers for the backend server: those of the caller without hop-by-hop headers, and
+   * those that the entry sets.
+   */
   readonly buildRequestHeaders: (headers: RawHeaders, forwarded: ForwardedContext) => string[];
 }
--- a/src/relay/requestFailover.ts
+++ b/src/relay/requestFailover.ts
@@ -3,62 +3,62 @@
 import type { UpstreamCall } from './upstreamCall';
 import type { PickedWorker } from './workerPicker';
 
-/** Silence of a server, in target latencies, after which it is taken for unwell. */
+/** Time without an answer after which a server counts as unresponsive, in target latencies. */
 const SILENCE_TARGET_FACTOR = 2.5;
-/** Shortest silence that says anything, in milliseconds. */
+/** Lower bound on that time, in milliseconds. */
 const MIN_SILENCE_MS = 250;
 
 /**
- * Computes after how long without an answer a server is taken for silent, in milliseconds.
+ * Computes the time without an answer after which a server counts as unresponsive, in milliseconds.
  *
  * @example
- * setTimeout(() => noteSilence(call), computeSilenceMs(route));
+ * setTimeout(() => handleSilence(call), computeSilenceMs(route));
  */
 export const computeSilenceMs = ({ targetLatencyMs }: Route): number => (
   Math.max(MIN_SILENCE_MS, SILENCE_TARGET_FACTOR * targetLatencyMs));
 
-/** What a move needs of its request. */
+/** Access that a failover needs to its request. */
 export interface RequestFailoverParts {
   readonly log: Pick<RequestLog, 'noteStay'>;
-  /** Finds another server, until it is settled that none is needed; nothing where it is over. */
+  /** Finds another server; resolves with undefined once `isUnneeded` holds or the request ended. */
   readonly pickWorker: (isUnneeded: () => boolean) => Promise<PickedWorker | undefined>;
-  /** Gives a place back that is not used. */
+  /** Releases a slot that is not used. */
   readonly releasePicked: (picked: PickedWorker) => void;
-  /** Whether another send, to the server, is certain to be allowed. */
+  /** Reserves a retry; returns whether a send to the given server is certain to be allowed. */
   readonly reserveRetry: (picked: PickedWorker) => boolean;
-  /** Whether the request is still at its server. */
+  /** Returns whether the given call is still the current one of the request. */
   readonly isCurrentCall: (call: UpstreamCall) => boolean;
-  /** Whether nobody waits for the request any more. */
+  /** Returns whether the request no longer needs an answer. */
   readonly isFinished: () => boolean;
-  /** Whether the request was at a server before. */
+  /** Returns whether a server was tried before. */
   readonly wasTried: (workerId: string) => boolean;
 }
 
 /**
- * The move of a request from a server that is silent to another one that has a place for it. Until
- * there is such a place, the request stays where it is.
+ * Moves a request from an unresponsive server to one that has a free slot. Until such a slot is
+ * found, the request stays at its server.
  *
  * @example
- * move.begin(call, parts);
- * const picked = await move.take();
+ * failover.start(call, parts);
+ * const picked = await failover.takeWorker();
  */
 export class RequestFailover {
-  /** The server that takes the request over; none where it stays. */
+  /** The search for another server; resolves with undefined if the request stays. */
   private prepared: Promise<PickedWorker | undefined> | undefined;
 
-  /** Looks for another server for a request whose call is silent. */
+  /** Starts to look for another server for a request whose server does not answer. */
   start(call: UpstreamCall, parts: RequestFailoverParts): void {
     this.prepared = this.findWorker(call, parts);
   }
 
-  /** Takes what came of it, once. */
+  /** Returns the result of the search and clears it. */
   takeWorker(): Promise<PickedWorker | undefined> | undefined {
     const { prepared } = this;
     this.prepared = undefined;
     return prepared;
   }
 
-  /** Resolves with a server that has a place, once the silent one is given up; never rejects. */
+  /** Resolves with the other server once the current call is aborted; never rejects. */
   private async findWorker(
     call: UpstreamCall,
     parts: RequestFailoverParts,
@@ -67,13 +67,13 @@
       .catch((error: unknown) => parts.log.noteStay(error));
     if (!picked) return undefined;
     const isWanted = !call.hasAnswerHead && !parts.isFinished();
-    // Looked at again: what allowed another send may have changed while the place was waited for.
+    // Checked again: the retry may no longer be allowed after the wait for a slot.
     const mayMove = !parts.isCurrentCall(call) || parts.reserveRetry(picked);
     if (!isWanted || !mayMove || parts.wasTried(picked.worker.id)) {
       parts.releasePicked(picked);
       return undefined;
     }
-    if (parts.isCurrentCall(call)) call.abort('the backend server is silent');
+    if (parts.isCurrentCall(call)) call.abort('the backend server does not answer');
     return picked;
   }
 }
--- a/src/relay/requestFingerprint.ts
+++ b/src/relay/requestFingerprint.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto';
 
-/** What two requests have in common when the second is the first one sent again. */
+/** The content by which a resend of a request is recognized. */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   readonly target: string;
-  /** Client account that sent it; empty where a route asks for no key. */
+  /** Client account that sent the request; empty if the route requires no key. */
   readonly account: string;
   readonly body: Buffer;
 }
@@ -15,9 +15,9 @@
 const FINGERPRINT_DIGITS = 32;
 
 /**
- * Computes what a request has in common with its resends, which come under other ids, over other
- * connections and at other entries. The account is part of it, so that no caller's request can be
- * taken for another caller's.
+ * Computes the fingerprint of a request. Resends have the same fingerprint although they have other
+ * ids, use other connections and may arrive at other entries. The account is part of it, so that
+ * the requests of different accounts never share a fingerprint.
  *
  * @example
  * const fingerprint = computeFingerprint({ method: 'POST', host, target, account: 'lobby', body });
--- a/src/relay/requestGuard.ts
+++ b/src/relay/requestGuard.ts
@@ -7,18 +7,19 @@
 import type { RequestParts } from './requestParts';
 
 /**
- * Ends of servers under one request, in whichever attempts of its callers, after which its entry
- * does not send it again by itself.
+ * Server crashes under one request, over all attempts of its callers, after which an entry does not
+ * send it again without the leader.
  */
 const MAX_CRASHES = 2;
-/** Longest that a broken attempt waits for news of its server, in milliseconds. */
+/** Longest time that a broken attempt waits for the check of its server, in milliseconds. */
 const CRASH_CHECK_WAIT_MS = 50;
 const SUCCESS = 200;
 const REDIRECT = 300;
 
 /**
- * Guards backend servers against one request that ends each of them: it comes again under other
- * ids, at any entry, and takes all that runs beside it along.
+ * Protects backend servers from a request that crashes every server that runs it. Its callers send
+ * it again with other ids and to other entries, and each crash ends all other requests of the
+ * server.
  *
  * @example
  * const guard = new RequestGuard(parts, content);
@@ -32,32 +33,33 @@
     private readonly content: RequestContent,
   ) {}
 
-  /** The same for each resend of the request. */
+  /** Fingerprint of the request, the same for every resend. */
   get fingerprint(): string {
     this.computed ??= computeFingerprint(this.content);
     return this.computed;
   }
 
-  /** Whether nothing is known against it, so that the entry may choose servers by itself. */
+  /** Whether the request is not suspect, so that the entry may choose a server by itself. */
   get isFree(): boolean {
     return this.countLocalCrashes() < MAX_CRASHES && this.findSuspect() === undefined;
   }
 
-  /** Throws for a request that the leader has found to end servers. */
+  /** Throws if the leader has quarantined the request. */
   check(): void {
     const suspect = this.findSuspect();
     if (!suspect || suspect.refusedMs <= 0) return;
-    throw new BeechliftError('requestQuarantined', `${suspect.crashCount} backend servers ended under request "${this.fingerprint}"`, {
+    throw new BeechliftError('requestQuarantined', `${suspect.crashCount} backend servers crashed under request "${this.fingerprint}"`, {
       retryAfterMs: Math.ceil(suspect.refusedMs),
     });
   }
 
   /**
-   * Notes that a server broke off while it had the request. Resolves once it is known whether the
-   * server has ended, or a moment later: whoever waits for its slot is decided on after that.
+   * Checks whether a server that broke off the request has crashed, and reports a crash. Resolves
+   * once this is known or after a short timeout. The slot must be released only after that, so
+   * that the crash counts before other copies of the request are placed.
    */
   async checkForCrash(worker: RoutedWorker): Promise<void> {
-    // A server that leaves ends in order.
+    // A server that is leaving shuts down normally.
     if (worker.standing !== 'ready') return;
     const checked = this.parts.connections.hasEnded(worker.address).then((hasEnded) => {
       if (hasEnded) this.reportCrash(worker);
@@ -65,7 +67,7 @@
     await Promise.race([checked, pause(CRASH_CHECK_WAIT_MS)]);
   }
 
-  /** Notes that a server answered it whole. */
+  /** Records that a server answered the request completely. */
   recordAnswer(status: number): void {
     const isServed = status >= SUCCESS && status < REDIRECT;
     if (!isServed || (this.countLocalCrashes() === 0 && !this.findSuspect())) return;
@@ -77,15 +79,15 @@
   }
 
   /*
-   * Guards against a request that comes again while the leader, who adds its ends up, is out of
-   * reach: each of its attempts would be the first.
+   * Counts crashes at this entry, for the time in which the leader, which counts those at all
+   * entries, is unreachable. Without it, each resend would be treated as a first attempt.
    */
   private countLocalCrashes(): number {
     const { placeClient } = this.parts;
     return placeClient.hasCrashes ? placeClient.countCrashes(this.fingerprint) : 0;
   }
 
-  /** Looked up only where there are suspects: most requests need no fingerprint. */
+  /** Skips the lookup if there are no suspects: most requests then need no fingerprint. */
   private findSuspect(): ListedSuspect | undefined {
     const { site, clock } = this.parts;
     if (site.suspects.size === 0) return undefined;
--- a/src/relay/requestLog.ts
+++ b/src/relay/requestLog.ts
@@ -9,15 +9,15 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * The lines and counts of one request: a line for each attempt that did not end well and for each
- * answer of our own, under the request's id.
+ * Logs and counts one request: a line with the request's id for each attempt, at level `debug` if
+ * it was answered, and for each refusal.
  *
  * @example
  * const log = new RequestLog(parts, facts.requestId, clock.now());
- * log.noteRefusal(error, admitted, 0);
+ * log.logRefusal(error, admitted, 0);
  */
 export class RequestLog {
-  /** What the request shares with its resends, once its body is whole. */
+  /** Identifies the request and its resends; set once the body is read. */
   identity: Pick<RequestGuard, 'fingerprint'> | undefined;
 
   constructor(
@@ -26,7 +26,7 @@
     private readonly receivedAt: number,
   ) {}
 
-  /** Notes what came of an attempt at a backend server. */
+  /** Logs the outcome of an attempt at a backend server. */
   logAttempt(
     { route }: AdmittedRequest,
     { worker, expectedMs, placeId }: PickedWorker,
@@ -56,13 +56,13 @@
     });
   }
 
-  /** Notes that a request stays at a silent server, as no other one takes it. */
+  /** Logs that a request stays at an unresponsive server because no other one accepts it. */
   noteStay(error: unknown): undefined {
-    this.parts.logger.info('a silent server is waited for', { requestId: this.requestId, reason: String(error) });
+    this.parts.logger.info('request stays at an unresponsive server', { requestId: this.requestId, reason: String(error) });
     return undefined;
   }
 
-  /** Notes an answer of our own, and the document by which it was decided. */
+  /** Logs an error of the entry, with the version of the routing document that was in force. */
   logRefusal(error: BeechliftError, admitted: AdmittedRequest | undefined, sent: number): void {
     const { metrics, logger, clock } = this.parts;
     metrics.refusals.inc({ code: error.number });
--- a/src/relay/requestParts.ts
+++ b/src/relay/requestParts.ts
@@ -8,7 +8,7 @@
 import type { WorkerConnections } from './workerConnections';
 import type { WorkerPicker } from './workerPicker';
 
-/** What all requests of an entry share. */
+/** Dependencies that all requests of an entry share. */
 export interface RequestParts {
   readonly site: RelaySite;
   readonly dialect: RequestDialect;
--- a/src/relay/retryAfter.ts
+++ b/src/relay/retryAfter.ts
@@ -2,8 +2,8 @@
 const SECONDS = /^\d+(\.\d+)?$/;
 
 /**
- * Reads a `Retry-After` in seconds, which may have a fraction; 0 where it names no time to come. A
- * date is not read: it would count by the server's clock, which may be off.
+ * Parses a `Retry-After` in seconds, which may have a fraction; returns milliseconds, or 0 if there
+ * is no such value. Dates are ignored, as the server's clock may be wrong.
  *
  * @example
  * readRetryAfterMs('2.5'); // 2500
--- a/src/relay/retryPolicy.ts
+++ b/src/relay/retryPolicy.ts
@@ -5,29 +5,30 @@
 import type { RequestGuard } from './requestGuard';
 import type { RequestParts } from './requestParts';
 
-/** Servers that a request is offered to without being run by any, at most. */
+/** Most servers that are tried for one request. */
 const MAX_TRIES = 4;
-/** Time to come back after servers refused, in milliseconds: a slot or two later. */
+/** Retry-After once all tried servers refused, in milliseconds: a slot or two is free by then. */
 const REFUSED_RETRY_MS = 150;
 
 /**
- * When one request may be sent to another server, and what is true of a request that is not: only
- * where nothing can run twice, and where no server is put at risk.
+ * Decides whether a request may be sent to another server, and which error answers it if not. A
+ * request is sent again only if it cannot run twice by mistake and if it is not suspected of
+ * crashing servers.
  *
  * @example
- * rules.noteAttempt(end);
- * if (rules.maySendAgain(end, writer, deadlineAt)) offerElsewhere();
+ * retryPolicy.recordOutcome(outcome);
+ * if (retryPolicy.mayRetry(outcome, writer, deadlineAt)) tryNextServer();
  */
 export class RetryPolicy {
-  /** Times that bytes of the request may have left. */
+  /** Number of sends in which bytes of the request may have reached a server. */
   sendCount = 0;
 
   private tries = 0;
 
-  /** Whether a repeat was taken off the allowance and not made so far. */
+  /** Whether a retry was taken from the retry budget and is not used yet. */
   private hasReservedRetry = false;
 
-  /** Whether a backend server may have run it. */
+  /** Whether a backend server may have run the request. */
   private mayHaveRun = false;
 
   constructor(
@@ -36,24 +37,24 @@
     private readonly guard: RequestGuard,
   ) {}
 
-  /** Notes that a server was chosen for it. */
+  /** Counts a server that was chosen for the request. */
   countTry(): void {
     this.tries += 1;
   }
 
-  /** Notes what came of an attempt. */
+  /** Records the outcome of an attempt. */
   recordOutcome({ kind }: AttemptOutcome): void {
     this.mayHaveRun ||= kind === 'broken' || kind === 'failed';
   }
 
-  /** Whether the route allows one that is at a server now another send. */
+  /** Whether the route allows another send beside the one that is in progress. */
   private get canSendAgain(): boolean {
     return this.isRepeatable && this.sendCount + 1 < this.admitted.route.maxAttempts;
   }
 
   /**
-   * Whether one that is at a server now is certain to be allowed another send. The repeat is held
-   * from then on, so that neither a server nor its answer is given up for a send that is refused.
+   * Reserves a retry while an attempt is in progress; returns whether another send is certain to be
+   * allowed. Without the reservation, an attempt could be aborted for a retry that is then refused.
    */
   reserveRetry(deadlineAt: number): boolean {
     const now = this.parts.clock.now();
@@ -63,7 +64,7 @@
     return this.hasReservedRetry;
   }
 
-  /** Gives a repeat back that was held and not made. */
+  /** Returns an unused reserved retry to the budget. */
   releaseRetry(): void {
     const { site, clock } = this.parts;
     if (this.hasReservedRetry) site.retries.refund(this.admitted.service, clock.now());
@@ -71,14 +72,16 @@
   }
 
   /*
-   * Guards against running twice what may run once: after a byte was sent, only a server that says
-   * that it did not run the request, or a route that may be repeated, allows another send.
+   * Prevents a request that may run only once from running twice: after a byte was sent, another
+   * send needs a server that reports that it did not run the request, or a route that allows
+   * repeats.
    */
   mayRetry(outcome: AttemptOutcome, writer: AnswerWriter, deadlineAt: number): boolean {
     const { site, clock } = this.parts;
     const now = clock.now();
     if (!this.hasTriesLeft(now, deadlineAt)) return false;
-    // What another server answers must not be put behind what the caller has of the first answer.
+    // The answer of another server must not be appended to the part that the caller already has,
+    // unless the stream is resumed after that part.
     const canResume = writer.canResume && site.workers.mechanisms.resumption;
     if (writer.hasBegun && !canResume) return false;
     if (outcome.kind === 'unsent') return true;
@@ -90,18 +93,18 @@
   }
 
   /*
-   * Guards a promise: a refusal says that the request has not run, and its caller may rely on that.
-   * One that was sent to a server before, and found none for its second try, may have run.
+   * Callers rely on a refusal that states that the request has not run. A request that was sent to
+   * one server and found no second one may have run, so the refusal becomes `outcomeUnknown`.
    */
   adjustRefusal(error: BeechliftError): BeechliftError {
     if (!this.mayHaveRun || error.run !== 'notRun') return error;
-    return new BeechliftError('outcomeUnknown', `a first try may have run, and then: ${error.message}`);
+    return new BeechliftError('outcomeUnknown', `an earlier attempt may have run the request, and the next one failed: ${error.message}`);
   }
 
-  /** Makes the answer to a request that is sent nowhere else. */
+  /** Makes the error that answers a request which is not sent again. */
   makeFailure(reason: string): BeechliftError {
-    if (this.mayHaveRun) return new BeechliftError('outcomeUnknown', `no whole answer came: ${reason}`);
-    return new BeechliftError('noBackend', `no backend server took the request: ${reason}`, { retryAfterMs: REFUSED_RETRY_MS });
+    if (this.mayHaveRun) return new BeechliftError('outcomeUnknown', `no complete answer was received: ${reason}`);
+    return new BeechliftError('noBackend', `no backend server accepted the request: ${reason}`, { retryAfterMs: REFUSED_RETRY_MS });
   }
 
   private hasTriesLeft(now: number, deadlineAt: number): boolean {
@@ -114,7 +117,7 @@
     return wasReserved || this.parts.site.retries.take(service, now);
   }
 
-  /** Whether the route lets it run more than once. */
+  /** Whether the route allows the request to run more than once. */
   private get isRepeatable(): boolean {
     const { kind, isResumable } = this.admitted.route;
     return kind === 'idempotent' || (kind === 'stream' && isResumable);
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -24,7 +24,7 @@
 import { applyNotice } from './workerNotices';
 import type { PickedWorker } from './workerPicker';
 
-/** A request that is admitted and read, and what is decided by. */
+/** An admitted request with its body, and the checks and the policy that apply to it. */
 interface PreparedRequest {
   readonly admitted: AdmittedRequest;
   readonly body: Buffer;
@@ -33,9 +33,9 @@
 }
 
 /**
- * One request of a caller: admitted, sent to a backend server, and answered once. It is sent again
- * only where nothing can run twice: the server did not run it, or its route says that it may be
- * repeated.
+ * Serves one request of a caller: admits it, sends it to a backend server and answers it once. The
+ * request is sent to another server only if it cannot run twice by mistake: the first server did
+ * not run it, or its route allows repeats.
  *
  * @example
  * await new RoutedRequest(parts, request, response, target, isNewest).run();
@@ -53,7 +53,7 @@
 
   private call: UpstreamCall | undefined;
 
-  /** Takes it back while it waits for a place, so that others get the slot it would have had. */
+  /** Cancels the wait for a slot, so that other requests can get the slot. */
   private cancelPick: (() => void) | undefined;
 
   private readonly failover = new RequestFailover();
@@ -62,7 +62,7 @@
 
   private admitted: AdmittedRequest | undefined;
 
-  /** Known once the request is admitted and read. */
+  /** Set once the request is admitted and its body is read. */
   private retryPolicy: RetryPolicy | undefined;
 
   constructor(
@@ -70,7 +70,7 @@
     private readonly request: IncomingMessage,
     private readonly response: ServerResponse,
     private readonly target: string,
-    /** Whether the caller has written nothing behind it on its connection. */
+    /** Returns whether this is the latest request on its connection. */
     private readonly isNewest: () => boolean,
   ) {
     this.receivedAt = parts.clock.now();
@@ -90,13 +90,13 @@
     }
   }
 
-  /** Answers finally, unless the caller has the beginning of an answer. */
+  /** Refuses the request because the entry shuts down, unless an answer has started. */
   endWithEntry(): void {
     if (this.writer.hasBegun) return;
-    this.giveUp(makeLeavingError(), 'the entry ends');
+    this.giveUp(makeLeavingError(), 'the entry shuts down');
   }
 
-  /** Ends an answer that has begun and is not whole. */
+  /** Aborts an answer that has started and is incomplete. */
   breakOff(): void {
     if (this.response.writableEnded) return;
     this.writer.abort();
@@ -104,7 +104,8 @@
 
   private makeWriter(mode: AnswerMode): AnswerWriter {
     const { site, clock } = this.parts;
-    // A request behind it may run already: its answer closes the connection.
+    // Only the answer to the latest request may close the connection: an earlier one would cut off
+    // the requests that follow it, which may be running already.
     const isClosing = (): boolean => site.isLeaving && this.isNewest();
     return new AnswerWriter(this.response, mode, () => clock.now(), isClosing);
   }
@@ -148,7 +149,7 @@
     });
   }
 
-  /** Offers the request to one server after another, until it is answered or given up. */
+  /** Tries one server after another until the request is answered or refused. */
   private async tryServers(prepared: PreparedRequest): Promise<void> {
     const { admitted, retryPolicy: retryPolicy } = prepared;
     const picked = await this.failover.takeWorker() ?? await this.pickWorker(prepared);
@@ -232,7 +233,8 @@
     const outcome = settleAttempt({
       worker, tracker: tracker, writer: this.writer, now: this.parts.clock.now(),
     }, callOutcome, headOutcome);
-    // Before any wait, in which the request may be given up.
+    // Must come before any await: the request may be refused meanwhile, and the refusal depends on
+    // whether the request may have run.
     retryPolicy.recordOutcome(outcome);
     if (outcome.kind === 'broken' && !headOutcome && !call.isAborted) await guard.checkForCrash(worker);
     if (outcome.kind === 'answered') guard.recordAnswer(this.writer.statusCode);
@@ -248,7 +250,7 @@
     });
   }
 
-  /** Gives a place back that came when nobody waited for it any more. */
+  /** Releases a slot that was granted after the request no longer needed it. */
   private releasePicked(admitted: AdmittedRequest, picked: PickedWorker): void {
     const tracker = this.makeTracker(admitted, picked);
     tracker.releaseWorker();
@@ -274,7 +276,7 @@
     };
   }
 
-  /** Tells what is wrong with a head; undefined for one that is passed on. */
+  /** Returns why an answer's head is refused, or undefined if the answer is passed on. */
   private checkHead(
     prepared: PreparedRequest,
     worker: RoutedWorker,
@@ -290,9 +292,9 @@
   }
 
   /*
-   * Guards against a server that accepts requests and stays silent: others are preferred from now
-   * on, and what may be repeated goes to another one as soon as that has a place for it. Until
-   * then the server may still answer: its silence alone ends no request.
+   * Handles a server that accepts requests and does not answer. From now on the entry prefers other
+   * servers. A request that may be repeated moves to another server as soon as that one has a free
+   * slot. Until then the first server may still answer, so silence alone does not end the request.
    */
   private handleSilence(prepared: PreparedRequest, worker: RoutedWorker, call: UpstreamCall): void {
     const isSilent = !this.writer.hasBegun && !call.hasAnswerHead;
@@ -310,7 +312,7 @@
     });
   }
 
-  /** Whether one that is at a server now is certain to be sent to another, if it is given up. */
+  /** Reserves another send; returns whether it is certain to be allowed if this one is aborted. */
   private reserveRetry({ admitted, retryPolicy: retryPolicy }: PreparedRequest, picked?: PickedWorker): boolean {
     return canAnswerInTime(this.parts.site, admitted, this.facts, picked)
       && retryPolicy.reserveRetry(this.deadlineAt);
@@ -323,8 +325,8 @@
   }
 
   private expire(): void {
-    const error = new BeechliftError('routeTimeout', 'the answer was not whole when its time was over');
-    this.giveUp(error, 'its time is over');
+    const error = new BeechliftError('routeTimeout', 'the answer was not complete at the deadline of the request');
+    this.giveUp(error, 'the deadline of the request has passed');
   }
 
   private giveUp(error: BeechliftError, reason: string): void {
@@ -335,10 +337,10 @@
     this.cancelPick?.();
   }
 
-  /** A caller that has gone is waited for by nobody: its backend server is told by the close. */
+  /** Aborts the call of a caller that disconnected, which cancels it at the backend server. */
   private handleClose(): void {
     if (this.response.writableFinished) return;
-    this.call?.abort('the caller has gone');
+    this.call?.abort('the caller disconnected');
     this.cancelPick?.();
   }
 
--- a/src/relay/siteWatch.ts
+++ b/src/relay/siteWatch.ts
@@ -9,13 +9,13 @@
 import type { RelaySite } from './relaySite';
 import { WatchStream } from './watchStream';
 
-/** Silence beyond the hold after which another replica is asked. */
+/** Wait for a reply beyond the hold time, in milliseconds, before another replica is asked. */
 const REPLY_TIMEOUT_MS = 350;
-/** Replicas that are asked at once who leads: one answers where two of them are lost. */
+/** Replicas that are asked for the leader at once: one still answers if two of them are down. */
 const SEARCH_WIDTH = 3;
-/** How long a replica holds the question who leads, while it knows no leader. */
+/** How long a replica that knows no leader holds a request for the leader, in milliseconds. */
 const SEARCH_HOLD_MS = 1_000;
-/** Bounds on the pause before replicas are asked again, after none could be reached. */
+/** Bounds on the delay before the next try once no replica was reachable, in milliseconds. */
 const MIN_RETRY_DELAY_MS = 40;
 const MAX_RETRY_DELAY_MS = 250;
 
@@ -25,13 +25,13 @@
   .slice(0, SEARCH_WIDTH)
   .map(({ address }) => address);
 
-/** Sends a question and resolves with its answer; rejects when none comes in time. */
+/** Sends a watch request and resolves with its reply; rejects if none is received in time. */
 type WatchSender = (request: WatchRequest, timeoutMs: number) => Promise<WatchReply>;
 
-/** What the watch needs. */
+/** Dependencies of the watch. */
 export interface SiteWatchParts {
   readonly site: RelaySite;
-  /** Replicas that the settings name. */
+  /** Returns the addresses of the replicas in the settings. */
   readonly readSeeds: () => readonly string[];
   readonly clock: Clock;
   readonly suspension: SuspensionWatch;
@@ -39,8 +39,8 @@
 }
 
 /**
- * Keeps asking the leader of control, which renews the lease and brings whatever changed. Finds the
- * leader by asking the replicas in turn.
+ * Sends watch requests to the control leader, one after another. Each reply renews the lease and
+ * contains the changes since the last one. Finds the leader by asking several replicas.
  *
  * @example
  * const watch = new SiteWatch(parts);
@@ -51,7 +51,7 @@
 
   private leader = '';
 
-  /** Where the leader is asked, once it is found. */
+  /** Stream to the leader; undefined until it is found. */
   private watchStream: WatchStream | undefined;
 
   private knownReplicas: readonly string[] = [];
@@ -64,31 +64,31 @@
 
   constructor(private readonly parts: SiteWatchParts) {}
 
-  /** Begins to ask. */
+  /** Starts to send watch requests. */
   start(): void {
     this.run().catch((error: unknown) => this.restart(error));
   }
 
   /*
-   * Guards an entry against an answer that it cannot take in, whatever is wrong with it: one that
-   * asked no more would serve nobody until it is restarted.
+   * Keeps the watch running after a reply that cannot be processed: without watch requests the
+   * entry would serve nobody until it is restarted.
    */
   private restart(error: unknown): void {
-    this.parts.logger.error('asking control failed, and is begun anew', { reason: String(error) });
+    this.parts.logger.error('watching control failed and is restarted', { reason: String(error) });
     setTimeout(() => this.start(), MIN_RETRY_DELAY_MS).unref();
   }
 
-  /** Tells the leader of a new state at once, beside the question that is held. */
+  /** Sends a new state to the leader at once, in addition to the watch request that it holds. */
   async sendState(): Promise<void> {
     if (this.leader !== '') await this.watchOnce(this.leader, 0);
   }
 
-  /** The leader as last heard; undefined while none is known. */
+  /** Returns the connection to the last known leader; undefined while none is known. */
   findLeader(): RpcLink<SiteClient> | undefined {
     return this.leader === '' || this.isLeaderLost ? undefined : this.links.find(this.leader);
   }
 
-  /** Stops asking. */
+  /** Stops sending watch requests. */
   stop(): void {
     this.stopped = true;
     this.watchStream?.close();
@@ -99,14 +99,13 @@
     if (this.stopped) return;
     const reached = this.leader === '' ? await this.searchLeader() : await this.watchLeader(this.leader);
     if (!reached && !this.stopped) await this.waitBeforeRetry();
-    // Begun anew, not waited for: each question that is waited for would keep its memory until the
-    // process ends.
+    // Started without await: an unending chain of awaited calls would never release its memory.
     this.start();
   }
 
   /*
-   * Guards replicas that are down, and the entry itself, which a fresh connection costs a
-   * millisecond each: they are tried less and less often until one answers.
+   * Backs off exponentially until a replica answers: every new connection costs processor time,
+   * here and at replicas that are starting.
    */
   private async waitBeforeRetry(): Promise<void> {
     const ms = this.retryDelayMs;
@@ -115,16 +114,16 @@
   }
 
   /**
-   * Asks some replicas at once; the first that leads, or that names who does, ends the search.
+   * Asks some replicas at once. The search ends with the first one that is the leader or names it.
    *
-   * Guards the election of the next leader against the entries that wait for it: one that knows
-   * none holds the question until it does.
+   * A replica that knows no leader holds the request until it knows one, so that waiting entries
+   * do not slow the election down.
    */
   private async searchLeader(): Promise<boolean> {
     const all = [...new Set([...this.knownReplicas, ...this.parts.readSeeds()])];
     const searches = pickReplicas(all).map(async (address) => {
       const reached = await this.watchOnce(address, SEARCH_HOLD_MS);
-      if (!reached && this.leader === '') throw new Error(`"${address}" knows no leader`);
+      if (!reached && this.leader === '') throw new Error(`replica "${address}" knows no leader`);
       return reached;
     });
     return Promise.any(searches).catch(() => false);
@@ -173,14 +172,14 @@
   }
 
   private logUnreachable(address: string, { message: reason }: Error): undefined {
-    if (!this.isLeaderLost) this.parts.logger.warn('control replica does not answer', { address, reason });
+    if (!this.isLeaderLost) this.parts.logger.warn('control replica did not answer', { address, reason });
     return undefined;
   }
 
   private setLeader(address: string, reply: WatchReply): void {
     this.leader = address;
     this.knownReplicas = reply.controlAddresses;
-    if (this.isLeaderLost) this.parts.logger.info('leader of control found', { address });
+    if (this.isLeaderLost) this.parts.logger.info('control leader found', { address });
     this.isLeaderLost = false;
   }
 
@@ -188,9 +187,9 @@
     const named = reply?.leaderAddress ?? '';
     if (reply && reply.controlAddresses.length > 0) this.knownReplicas = reply.controlAddresses;
     if (this.leader !== '' && this.leader !== asked) return;
-    // One that names itself, or the one that has just failed, leads nowhere.
+    // The asked replica has just failed to answer as the leader, even if it names itself.
     this.leader = named === asked ? '' : named;
-    if (!this.isLeaderLost) this.parts.logger.warn('leader of control lost', { asked, named });
+    if (!this.isLeaderLost) this.parts.logger.warn('control leader lost', { asked, named });
     this.isLeaderLost = true;
   }
 }
--- a/src/relay/upstreamCall.ts
+++ b/src/relay/upstreamCall.ts
@@ -2,14 +2,14 @@
 import type { RawHeaders } from './requestDialect';
 import type { WorkerConnection } from './workerConnection';
 
-/** How a request went at one backend server. */
+/** Outcome of a request at one backend server. */
 export type UpstreamOutcome = | { readonly kind: 'whole' }
-  /** No byte of the request left. */
+  /** No byte of the request was sent. */
   | { readonly kind: 'unsent'; readonly reason: string }
-  /** It was sent, and no whole answer came. */
+  /** The request was sent, and no complete answer was received. */
   | { readonly kind: 'broken'; readonly reason: string };
 
-/** A request as it goes to a backend server. */
+/** A request as it is sent to a backend server. */
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
@@ -23,11 +23,11 @@
   readonly headers: RawHeaders;
 }
 
-/** Who hears of an answer. */
+/** Receives an answer. */
 export interface UpstreamListener {
-  /** Returns false to refuse the answer, which ends the connection. */
+  /** Returns false to refuse the answer, which closes the connection. */
   readonly onHead: (head: UpstreamHead) => boolean;
-  /** Returns false when the reader is full; `resume` is to be called then. */
+  /** Returns false to pause the answer until `resume` is called. */
   readonly onData: (chunk: Buffer) => boolean;
 }
 
@@ -37,17 +37,17 @@
 );
 
 /**
- * One request to one backend server.
+ * Sends one request to one backend server.
  *
  * @example
  * const call = new UpstreamCall(connection, listener);
  * const end = await call.run(request);
  */
 export class UpstreamCall {
-  /** Whether bytes of the request may have left. */
+  /** Whether bytes of the request may have been sent. */
   isSent = false;
 
-  /** Whether the head of an answer has come that is passed on. */
+  /** Whether the head of an answer was received and accepted. */
   hasAnswerHead = false;
 
   private controller: Dispatcher.DispatchController | undefined;
@@ -61,12 +61,12 @@
     private readonly listener: UpstreamListener,
   ) {}
 
-  /** Whether it was given up here. */
+  /** Whether the request was aborted by this entry. */
   get isAborted(): boolean {
     return this.abortReason !== undefined;
   }
 
-  /** Sends the request; resolves once its answer has ended, whole or not. */
+  /** Sends the request; resolves once its answer has ended, complete or not. */
   run({
     method, path, headers, body,
   }: UpstreamRequest): Promise<UpstreamOutcome> {
@@ -97,22 +97,22 @@
     });
   }
 
-  /** Goes on after the reader was full. */
+  /** Resumes an answer that `onData` paused. */
   resume(): void {
     this.controller?.resume();
   }
 
-  /** Gives the request up; its connection ends, by which the backend server learns of it. */
+  /** Aborts the request and closes its connection, which cancels it at the backend server. */
   abort(reason: string): void {
     this.abortReason = new Error(reason);
-    // Without a controller, the end of the request is reported as that of its connection.
+    // Without a controller the request has not started: closing the connection cancels it.
     if (this.controller) this.controller.abort(this.abortReason);
     else this.connection.client.destroy(this.abortReason).catch(() => undefined);
   }
 
   /*
-   * Guards requests that may not run twice: a library that would send a request anew over a fresh
-   * connection is stopped before the first byte.
+   * Prevents a request from running twice: if the HTTP library starts it again over a new
+   * connection, it is aborted before the first byte is sent.
    */
   private start(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
@@ -121,7 +121,7 @@
       return;
     }
     if (this.isSent) {
-      controller.abort(new Error('the request would have been sent twice'));
+      controller.abort(new Error('the HTTP client tried to send the request a second time'));
       return;
     }
     this.isSent = true;
@@ -134,7 +134,7 @@
   }
 
   private readHead(controller: Dispatcher.DispatchController, status: number): void {
-    // Answers below 200 only announce the one that follows.
+    // A status below 200 is informational: the final answer follows.
     if (status < 200) return;
     this.isRefused = !this.listener.onHead({ status, headers: readRawHeaders(controller) });
     this.hasAnswerHead = !this.isRefused;
--- a/src/relay/watchStream.ts
+++ b/src/relay/watchStream.ts
@@ -2,24 +2,24 @@
 import type { SiteClient, WatchReply, WatchRequest } from '../protocol/generated/beechlift';
 import type { ClientStream, RpcLink } from '../wire/rpcLink';
 
-/** A question that was not answered yet. */
+/** A watch request that was not answered yet. */
 interface PendingRequest {
   readonly resolve: (reply: WatchReply) => void;
   readonly reject: (error: Error) => void;
-  /** Ends the line when no answer comes in time. */
+  /** Ends the stream if no reply is received in time. */
   readonly timer: NodeJS.Timeout;
 }
 
 /**
- * The stream of questions to the leader, one at a time: as messages of a stream they cost the
- * leader two thirds of what they do as calls.
+ * Sends watch requests to the leader over one stream, one at a time. Messages of a stream cost the
+ * leader less processor time than single calls.
  *
- * Guards against a leader that falls silent: a question that is not answered in its time ends the
- * line, and what is opened next uses a fresh connection.
+ * A request that is not answered in time ends the stream and marks its connection as suspect, so
+ * that the next stream uses a new connection.
  *
  * @example
- * const line = new WatchLine(link);
- * const reply = await line.ask(request, 550);
+ * const stream = new WatchStream(link);
+ * const reply = await stream.sendRequest(request, 550);
  */
 export class WatchStream {
   private readonly stream: ClientStream<WatchRequest>;
@@ -35,12 +35,12 @@
     });
   }
 
-  /** Whether questions may still be asked here. */
+  /** Whether requests can still be sent. */
   get isOpen(): boolean {
     return this.failure === undefined;
   }
 
-  /** Resolves with the answer; rejects, and ends the line, when none comes in time. */
+  /** Resolves with the reply; rejects and ends the stream if none is received in time. */
   sendRequest(request: WatchRequest, timeoutMs: number): Promise<WatchReply> {
     return new Promise((resolve, reject) => {
       if (this.failure) {
@@ -55,7 +55,7 @@
   /** Ends the stream. */
   close(): void {
     this.stream.cancel();
-    this.end(new BeechliftError('noQuorum', 'the stream was closed here'));
+    this.end(new BeechliftError('noQuorum', 'the stream was closed by this entry'));
   }
 
   private handleReply(reply: WatchReply): void {
@@ -73,7 +73,7 @@
     this.settle()?.reject(error);
   }
 
-  /** Takes the question that is open, whose time no longer counts. */
+  /** Returns the pending request and stops its timer. */
   private settle(): PendingRequest | undefined {
     const { pending: pending } = this;
     this.pending = undefined;
--- a/src/relay/workerConnection.ts
+++ b/src/relay/workerConnection.ts
@@ -1,16 +1,16 @@
 import type { Socket } from 'node:net';
 import { buildConnector, Client } from 'undici';
 
-/** A connection that was not used for this long is closed, unless the server allows less. */
+/** Idle time after which a connection is closed, unless the server announces a shorter one. */
 const IDLE_TIMEOUT_MS = 4_000;
-/** Held back from what a server allows, so that no request meets its close on the way. */
+/** Margin before the server's idle timeout, so that no request meets the server's close. */
 const IDLE_MARGIN_MS = 1_000;
 /**
- * Longest wait for a new connection: some hundred times the usual, so that a server which is down
- * or cut off costs a request little before another takes it.
+ * Longest wait for a new connection, in milliseconds: many times the usual, yet short enough that a
+ * request at a server which is down or cut off loses little time before it goes to another one.
  */
 const CONNECT_TIMEOUT_MS = 300;
-/** Largest head of an answer. */
+/** Largest head of an answer that is accepted. */
 const MAX_HEAD_BYTES = 65_536;
 
 const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
@@ -19,22 +19,22 @@
  * One connection to a backend server. It carries one request at a time.
  *
  * @example
- * const connection = new WorkerConnection('10.0.0.9:8080', noteEnd);
+ * const connection = new WorkerConnection('10.0.0.9:8080', onEnd);
  * connection.client.dispatch(request, handler);
  */
 export class WorkerConnection {
   readonly client: Client;
 
-  /** Whether the other end, or something between, broke the connection off. */
+  /** Whether the server or the network reset the connection. */
   wasReset = false;
 
-  /** @param onEnd hears of a connection that has closed */
+  /** @param onEnd called once the connection has closed */
   constructor(readonly address: string, onEnd: (connection: WorkerConnection) => void) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       connect: (options, callback) => connect(options, (error, socket) => {
         if (socket) this.watchForReset(socket);
-        // The library types the two cases of its callback apart.
+        // The callback's type needs separate calls for the two cases.
         if (error) callback(error, null);
         else callback(null, socket);
       }),
@@ -42,27 +42,27 @@
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
       maxHeaderSize: MAX_HEAD_BYTES,
-      // Deadlines come with each request.
+      // Each request has its own deadline.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
     this.client.on('disconnect', () => onEnd(this));
   }
 
-  /** Whether it can carry nothing any more. */
+  /** Whether the connection can no longer be used. */
   get isEnded(): boolean {
     return this.client.destroyed;
   }
 
-  /** Ends it. */
+  /** Closes the connection. */
   end(): void {
-    this.client.destroy().catch(() => undefined); // Nothing waits on it.
+    this.client.destroy().catch(() => undefined); // Nobody awaits the result.
   }
 
   /*
-   * Guards against half an answer that is passed on as whole: an answer without a length ends with
-   * its connection, and the library takes a reset for such an end. This listener stands before the
-   * library's own.
+   * Detects resets: an answer without a length ends with its connection, and the HTTP library
+   * treats a reset as a normal end, by which a partial answer would be passed on as complete. This
+   * listener is registered before the library's own.
    */
   private watchForReset(socket: Socket): void {
     socket.once('error', () => {
--- a/src/relay/workerConnections.ts
+++ b/src/relay/workerConnections.ts
@@ -2,19 +2,19 @@
 import { WorkerConnection } from './workerConnection';
 
 /**
- * Connections to backend servers. Each carries one request at a time, and is given up after
- * whatever was not a whole answer in order, so that no byte of one answer is taken for another.
+ * Pool of connections to backend servers. Each connection carries one request at a time and is
+ * reused only after a complete answer, so that bytes of one answer cannot become part of another.
  *
  * @example
- * const connection = connections.take('10.0.0.9:8080');
- * connections.give(connection);
+ * const connection = connections.acquire('10.0.0.9:8080');
+ * connections.release(connection);
  */
 export class WorkerConnections {
   private readonly idle = new Map<string, WorkerConnection[]>();
 
   private readonly probe = new ConnectionProbe();
 
-  /** A connection that is free, the one used last first, or a new one. */
+  /** Returns the most recently used idle connection, or a new one. */
   acquire(address: string): WorkerConnection {
     const free = this.idle.get(address) ?? [];
     const position = free.findLastIndex(({ isEnded }) => !isEnded);
@@ -22,7 +22,7 @@
     return connection ?? new WorkerConnection(address, (ended) => this.remove(ended));
   }
 
-  /** Takes a connection back after a whole answer. */
+  /** Returns a connection to the pool after a complete answer. */
   release(connection: WorkerConnection): void {
     if (connection.isEnded) return;
     const free = this.idle.get(connection.address) ?? [];
@@ -30,7 +30,7 @@
     this.idle.set(connection.address, free);
   }
 
-  /** Closes idle connections to all addresses but these. */
+  /** Closes idle connections to all other addresses. */
   closeExcept(addresses: ReadonlySet<string>): void {
     [...this.idle.keys()]
       .filter((address) => !addresses.has(address))
@@ -40,17 +40,17 @@
       });
   }
 
-  /** Whether a server that broke a connection off has ended; a silent network says no. */
+  /** Whether the process of a server has ended; false if that cannot be found out. */
   hasEnded(address: string): Promise<boolean> {
     return this.probe.isRefused(address);
   }
 
-  /** Closes all. */
+  /** Closes all idle connections. */
   close(): void {
     this.closeExcept(new Set());
   }
 
-  /** A connection that closed while idle is opened anew only when it is needed. */
+  /** Removes a connection that closed while idle. */
   private remove(connection: WorkerConnection): void {
     const free = this.idle.get(connection.address) ?? [];
     const position = free.indexOf(connection);
--- a/src/relay/workerNotices.ts
+++ b/src/relay/workerNotices.ts
@@ -5,10 +5,10 @@
 
 const SERVICE_UNAVAILABLE = 503;
 
-/** An answer's head, as far as the backend server speaks of itself in it. */
+/** The part of an answer's head in which the backend server reports its own state. */
 export interface WorkerNotice extends Pick<AnswerFacts, 'restMs' | 'isLeaving'> {
   readonly status: number;
-  /** The caller's id of the request that was answered. */
+  /** The caller's id of the answered request. */
   readonly requestId: string;
 }
 
@@ -22,7 +22,7 @@
   if (status !== SERVICE_UNAVAILABLE || restMs === 0) return;
   worker.backoff = extendBackoff(worker.backoff, restMs, clock.now());
   metrics.notices.inc({ notice: 'rest' });
-  logger.info('backend server asks for rest', { requestId, worker: worker.id, restMs });
+  logger.info('backend server asked for a backoff', { requestId, worker: worker.id, restMs });
 };
 
 const applyLeaving = (
@@ -33,14 +33,14 @@
   if (!isLeaving || worker.isLeaving) return;
   worker.isLeaving = true;
   metrics.notices.inc({ notice: 'leaving' });
-  logger.info('backend server says that it leaves', { requestId, worker: worker.id, status });
+  logger.info('backend server reports that it is leaving', { requestId, worker: worker.id, status });
 };
 
 /**
- * Takes in what a backend server says of itself in an answer, whichever request it answers.
+ * Applies the state that a backend server reports in an answer, whichever request it answers.
  *
  * @example
- * noteNotices(parts, worker, { status, requestId, restMs, isLeaving });
+ * applyNotice(parts, worker, { status, requestId, restMs, isLeaving });
  */
 export const applyNotice = (
   parts: NoticeParts,
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -16,56 +16,56 @@
 import type { RequestFacts } from './requestDialect';
 import type { RequestGuard } from './requestGuard';
 
-/** A request that needs a backend server. */
+/** Input of the choice of a backend server for a request. */
 export interface PickRequest {
   readonly admitted: AdmittedRequest;
   readonly facts: RequestFacts;
   readonly deadlineAt: number;
-  /** Backend servers that it was at already. */
+  /** Ids of backend servers that were tried before. */
   readonly tried: readonly string[];
-  /** What is known of it beside servers that ended under it. */
+  /** Identifies the request, and says whether it is suspected of crashing servers. */
   readonly guard: Pick<RequestGuard, 'fingerprint' | 'isFree'>;
-  /** Whether nobody waits for it any more. */
+  /** Returns whether the request no longer needs a server. */
   readonly isOver: () => boolean;
-  /** Hears how to take the request back while it waits for a place. */
+  /** Receives a function that cancels the request while it waits for a slot. */
   readonly noteWaiting: (cancel: () => void) => void;
 }
 
-/** The backend server that takes a request. */
+/** The backend server that was chosen for a request. */
 export interface PickedWorker {
   readonly worker: RoutedWorker;
   readonly expectedMs: number;
-  /** Under which the leader knows it; empty where the entry chose by itself. */
+  /** Id of the slot that the leader granted; empty if the entry chose the server. */
   readonly placeId: string;
-  /** The leader's table that the place is counted in. */
+  /** Epoch of the leader's server table that counts the slot. */
   readonly epoch: string;
 }
 
-/** What the picker needs. */
+/** Dependencies of the picker. */
 export interface WorkerPickerParts {
   readonly site: RelaySite;
   readonly placeClient: PlaceClient;
   readonly clock: Clock;
 }
 
-/** Bounds on the time after which a refused caller may come back, in milliseconds. */
+/** Bounds on the Retry-After of a request that is refused because of its wait, in milliseconds. */
 const MIN_RETRY_MS = 250;
 const MAX_RETRY_MS = 3_000;
-/** Time to come back where no server is known at all: an announcement or two. */
+/** Retry-After if no server is known, in milliseconds: one or two announcement intervals. */
 const NO_WORKER_RETRY_MS = 1_000;
-/** Times that one offer asks the leader, where its places are at servers that take nothing. */
+/** Most slot requests to the leader for one choice, if it grants slots at unusable servers. */
 const MAX_PLACE_REQUESTS = 2;
 
 /**
- * Finds the backend server for a request. Model engines, whose slots are dear, are given out by the
- * leader of control for all entries; plain services, and everything while no leader is in reach,
- * are chosen here.
+ * Chooses the backend server for a request. The control leader grants the scarce slots of model
+ * engines to all entries. This entry chooses by itself for other services, and for all services
+ * while no leader is reachable.
  *
  * @example
  * const picked = await picker.pick(request);
  */
 export class WorkerPicker {
-  /** Names the places of this process. */
+  /** Prefix of slot ids, unique to this process. */
   private readonly placeIdPrefix = randomUUID().slice(0, 8);
 
   private lastPlaceNumber = 0;
@@ -73,8 +73,8 @@
   constructor(private readonly parts: WorkerPickerParts) {}
 
   /**
-   * Resolves with the server, or with nothing where the request is over; throws the refusal when
-   * there is none.
+   * Resolves with the server, or with undefined if the request ended meanwhile; throws the refusal
+   * if there is no server.
    */
   async pick(request: PickRequest): Promise<PickedWorker | undefined> {
     const { site, clock } = this.parts;
@@ -85,15 +85,15 @@
     const placed = usesLeader ? await this.place(request) : undefined;
     if (placed) return placed;
     if (request.isOver()) return undefined;
-    // One copy at a time, which only the leader sees to.
-    if (usesLeader && !request.guard.isFree) throw new BeechliftError('noSlotInTime', 'backend servers ended under this request, and the leader of control is out of reach', { retryAfterMs: NO_WORKER_RETRY_MS });
+    // A suspect request may run only one copy at a time, which only the leader can ensure.
+    if (usesLeader && !request.guard.isFree) throw new BeechliftError('noSlotInTime', 'backend servers crashed under this request, and the control leader is unreachable', { retryAfterMs: NO_WORKER_RETRY_MS });
     if (request.tried.length === 0) {
       chargeAccount(site, request.admitted.account, request.facts, clock.now());
     }
     return this.chooseLocally(request);
   }
 
-  /** Whether any server of a service may take a request at the moment. */
+  /** Whether any server of a service can accept a request now. */
   hasAvailableWorker(service: string): boolean {
     const now = this.parts.clock.now();
     const { workers } = this.parts.site;
@@ -136,8 +136,8 @@
     }
     const worker = site.workers.byId.get(reply.workerId);
     /*
-     * Guards a server that leaves against new work from a leader that has not heard of it, such as
-     * one that is cut off and does not know yet that another leads.
+     * The leader may not know that a server is leaving, for instance if it is cut off and was
+     * replaced: such a server must get no new requests.
      */
     if (worker?.standing === 'ready' && isEligible(site.workers, worker, clock.now())) {
       recordProbe(worker, clock.now());
@@ -145,14 +145,14 @@
         worker, expectedMs: reply.expectedMs, placeId, epoch: site.workersEpoch,
       };
     }
-    // Or the leader knows a server that this entry has not heard of yet.
+    // `rejected`: the leader granted a slot at a server that this entry does not know yet.
     placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMINGS });
     if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isOver()) return undefined;
     this.checkBackoff(service);
     return this.place(request, requestCount + 1);
   }
 
-  /** Throws the refusal where no server of a service may be asked, as all that are ready rest. */
+  /** Throws the refusal if all ready servers of a service are backing off. */
   private checkBackoff(service: string): void {
     const { site, clock } = this.parts;
     if (isServiceBlocked(site.workers, service, clock.now())) throw this.makeNoWorkerError(service);
@@ -161,8 +161,8 @@
   private makeNoWorkerError(service: string): BeechliftError {
     const { site, clock } = this.parts;
     const restMs = computeShortestBackoffMs(site.workers, service, clock.now());
-    if (restMs === 0) return new BeechliftError('noBackend', `no backend server of service "${service}" can take the request`, { retryAfterMs: NO_WORKER_RETRY_MS });
-    return new BeechliftError('backendsResting', `all backend servers of service "${service}" asked for rest, the first for ${Math.round(restMs)} ms more`, {
+    if (restMs === 0) return new BeechliftError('noBackend', `no backend server of service "${service}" can accept the request`, { retryAfterMs: NO_WORKER_RETRY_MS });
+    return new BeechliftError('backendsResting', `all backend servers of service "${service}" are backing off, the first for ${Math.round(restMs)} ms more`, {
       retryAfterMs: Math.round(computeRetryAfterMs(restMs, Math.random())),
     });
   }
@@ -184,7 +184,7 @@
     }, now);
     if (!choice) throw this.makeNoWorkerError(service);
     if (tried.length === 0 && !isWaitAcceptable(choice, route.targetLatencyMs, rank)) {
-      throw new BeechliftError('noSlotInTime', `the wait at service "${service}" is about ${Math.round(choice.waitMs)} ms, the target is ${route.targetLatencyMs} ms`, {
+      throw new BeechliftError('noSlotInTime', `the estimated wait at service "${service}" is ${Math.round(choice.waitMs)} ms, the target latency is ${route.targetLatencyMs} ms`, {
         retryAfterMs: Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, choice.waitMs)),
       });
     }
