--- a/src/relay/admitRequest.ts
+++ b/src/relay/admitRequest.ts
@@ -32,7 +32,7 @@
 ): RoutedAccount | undefined => {
   if (route.isPublic || !table.needsKeys) return undefined;
   const account = table.findAccount(facts.key);
-  if (!account) throw new BeechliftError('unknownKey', `route "${route.name}" requires the key of an account, the received key belongs to none`);
+  if (!account) throw new BeechliftError('unknownKey', `route "${route.name}" requires the key of an account, and the request has no key or an unknown one`);
   return account;
 };
 
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -211,7 +211,7 @@
     if (document === '') return false;
     const { routing, faults } = this.parts.readRouting(document);
     if (!routing) {
-      this.parts.logger.error('accepted routing document cannot be parsed', { faults: faults.slice(0, 3).join('; ') });
+      this.parts.logger.error('accepted routing document is invalid', { faults: faults.slice(0, 3).join('; ') });
       return false;
     }
     this.table = new RouteTable(routing);
--- a/tests/relay/answer-writer.spec.ts
+++ b/tests/relay/answer-writer.spec.ts
@@ -6,8 +6,8 @@
 import { AnswerWriter } from '../../src/relay/answerWriter';
 
 describe('writing an answer', () => {
-  // A piece came from a server after the caller had been refused: the write failed in an event of
-  // the response that nobody listened to, which ends the process and all its callers' connections.
+  // Fault: a chunk arrived from a server after the caller was refused. The write emitted an 'error'
+  // event without a listener, which crashed the process and closed all its connections.
   it('should drop what comes after its end', async () => {
     const failures: Error[] = [];
     const rooms: boolean[] = [];
--- a/tests/relay/busy-process.spec.ts
+++ b/tests/relay/busy-process.spec.ts
@@ -10,13 +10,13 @@
 
 const HOST = '127.0.0.1';
 const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\n\r\n';
-/** Between two looks at the heads that take too long. */
+/** Interval of the check for request heads that take too long. */
 const CHECK_MS = 1_000;
 
-/** A connection is closed this long after its idle time. */
+/** Time after the idle time at which a connection is closed. */
 const GRACE_MS = 1_000;
 
-/** Holds the loop up, as a process does that gets no processor. */
+/** Blocks the event loop, as in a process that gets no processor time. */
 const keepBusy = (ms: number): void => {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, ms);
 };
@@ -50,7 +50,7 @@
     await rig.close();
   });
 
-  // A request that was sent whole waits unread while the time for its head passes.
+  // A complete request waits unread while the time limit for its head passes.
   it('should serve a request that came in time on a new connection', async () => {
     await start({ headerTimeoutMs: 500 });
     socket.write(REQUEST);
@@ -59,7 +59,7 @@
     expect(text).toMatch(/^HTTP\/1.1 200 [^]*fine$/);
   });
 
-  // A request that was sent in time waits unread while its connection's idle time passes.
+  // A request that was sent in time waits unread while the idle time of its connection passes.
   it('should serve a request that came in time on a kept connection', async () => {
     await start({ idleTimeoutMs: 500 });
     socket.write(REQUEST);
--- a/tests/relay/caller-connections.spec.ts
+++ b/tests/relay/caller-connections.spec.ts
@@ -10,7 +10,7 @@
 
 const HOST = '127.0.0.1';
 const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\n\r\n';
-/** Between two looks at the heads that take too long. */
+/** Interval of the check for request heads that take too long. */
 const CHECK_MS = 1_000;
 const STREAM_MS = 1_800;
 
@@ -46,7 +46,7 @@
     await rig.close();
   });
 
-  // A head that takes too long was called unreadable, by which the request seems to be at fault.
+  // Fault: a head that took too long was answered with 400, as if the request were invalid.
   it('should tell a caller that its head took too long, and close', async () => {
     await start();
     socket.write('GET /orders/7 HTTP/1.1\r\n');
@@ -55,7 +55,7 @@
     expect(socket.destroyed).toBe(true);
   });
 
-  // What came behind a request was answered in the middle of that request's stream.
+  // Fault: input after a request was answered in the middle of that request's stream.
   it.each([
     ['a head that takes too long', 'GET /orders/8 HTTP/1.1\r\n'],
     ['no request at all', 'what is this?\r\n\r\n'],
@@ -69,8 +69,8 @@
     expect(socket.destroyed).toBe(true);
   });
 
-  // A request that crossed the refusal of its connection was run, and its caller told that it was
-  // not.
+  // Fault: a request that arrived while its connection was being refused was run, although its
+  // caller was told that it was not.
   it('should run nothing that comes once it was refused', async () => {
     await start({ allowHalfOpen: true });
     await pause(CHECK_MS + 600);
--- a/tests/relay/changes-under-requests.spec.ts
+++ b/tests/relay/changes-under-requests.spec.ts
@@ -18,7 +18,7 @@
 
 const STREAM_HEAD = 'HTTP/1.1 200 X\r\nx-id: r1\r\ntransfer-encoding: chunked\r\n\r\n';
 
-/** Streams for most of a second below /orders/s, and answers late below the other paths. */
+/** Streams for most of a second on paths that start with /orders/s, answers others late. */
 const answerSlowly: ServerScript = (socket, request) => {
   if (!request.startsWith('GET /orders/s')) {
     setTimeout(() => sendAnswer(socket, 'r1', WHOLE), PIECES * PIECE_MS);
@@ -91,7 +91,7 @@
     expect(text.endsWith(ending)).toBe(true);
   }, { timeout: 3 * PIECES * PIECE_MS });
 
-  // A stream was broken off as its route, its server or the lease of its entry was gone meanwhile.
+  // Fault: a stream was aborted because its route, its server or its entry's lease was gone.
   it.each(changes)('should end a stream: %s', async (name, change) => {
     socket.write(`GET /orders/s HTTP/1.1\r\n${HEAD}\r\n`);
     await pause(2.5 * PIECE_MS);
@@ -108,7 +108,7 @@
     expect(text).toMatch(/^HTTP\/1.1 200 /);
   });
 
-  // The limits that a request was admitted under hold until its body has been read.
+  // The limits that admitted a request stay in force until its body has been read.
   it.each(changes)('should answer a request whose body is under way, whole or as not run: %s', async (name, change) => {
     socket.write(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 3\r\n\r\na`);
     await pause(PIECE_MS);
@@ -121,7 +121,7 @@
     await vi.waitFor(async () => expect(await rig.countOpen()).toBe(0));
   });
 
-  // A connection that was idle is used within the time that its last answer told.
+  // A caller may use an idle connection within the time that was announced with its last answer.
   it('should keep an idle connection for the time that was told with its last answer', async () => {
     socket.write(`GET /orders/s HTTP/1.1\r\n${HEAD}\r\n`);
     await waitEnd('0\r\n\r\n');
--- a/tests/relay/crashing-requests-search.spec.ts
+++ b/tests/relay/crashing-requests-search.spec.ts
@@ -13,14 +13,14 @@
 const STEP_MS = 400;
 const FATAL_GAP_MS = 90;
 const HONEST_GAP_MS = 40;
-/** Time in which news travel and a leader that was lost is replaced, in milliseconds. */
+/** Time in which updates spread and a lost leader is replaced, in milliseconds. */
 const CALM_MS = 1_500;
-/** Retries that may still reach servers after that. */
+/** Most retries that may still reach servers after that. */
 const MOST_LATE = 3;
 
 type Trouble = 'none' | 'loseLeader' | 'addEntry' | 'crashServer';
 
-/** One schedule of troubles beside a request that ends servers. */
+/** Runs one schedule of disruptions while a request crashes servers. */
 class SiteRun {
   private readonly answers: SiteAnswer[] = [];
 
@@ -43,7 +43,7 @@
     await Promise.all([fatal, honest]);
   }
 
-  /** Marked requests that arrived later than all had the time to know. */
+  /** Number of fatal requests that arrived after all entries had time to learn of them. */
   get lateCount(): number {
     const { fatalTimes } = this.site;
     const third = fatalTimes[2] ?? Infinity;
@@ -99,7 +99,8 @@
 );
 
 describe('a request that ends servers, beside other troubles', () => {
-  // Guards against lost leaders, new entries and crashes by which it goes on or others are blamed.
+  // Lost leaders, new entries and other crashes must not let the request continue or make other
+  // requests suspect.
   it('should reach no server once all had the time to know, and blame nobody else', async () => {
     const property = fc.asyncProperty(drawTroubles, fc.boolean(), async (troubles, isEngine) => {
       const site = await RoutedSite.start({
--- a/tests/relay/crashing-requests.spec.ts
+++ b/tests/relay/crashing-requests.spec.ts
@@ -13,13 +13,13 @@
 const ENTRIES = 3;
 const SENDS = 30;
 const GAP_MS = 75;
-/** Three that end servers, those under way while news of the third travel, and three repeats. */
+/** Three that crash servers, those in flight while the third crash is reported, and retries. */
 const MOST_SENDS = 8;
-/** As many as come before entries are without a lease. */
+/** Requests that arrive before the entries lose their leases. */
 const LEADERLESS_SENDS = 18;
-/** How much later than the others a replica starts. */
+/** Delay of the replica that starts last, in milliseconds. */
 const LATE_MS = 1_000;
-/** Time in which what is known reaches the disks. */
+/** Time in which suspects are written to the disks, in milliseconds. */
 const REMEMBER_MS = 700;
 
 describe('a request that ends every server that runs it', () => {
@@ -64,17 +64,17 @@
     expect((await started.send(0, 'harmless')).status).toBe(200);
   };
 
-  // Guards against a request that comes again at any entry and ends one engine after another.
+  // The request is sent again to any entry and crashes one engine after another.
   it('should reach few engines, and none once three have ended under it', async () => {
     await judgeSends(await start(true));
   });
 
-  // Guards against the same at servers that entries choose without asking the leader.
+  // The same at servers that entries choose without the leader.
   it('should reach few plain servers, and none once three have ended under it', async () => {
     await judgeSends(await start(false));
   });
 
-  // Guards against entries that choose by themselves, each attempt as if it were the first.
+  // Entries that choose servers by themselves must not treat each attempt as the first one.
   it('should reach few engines while no leader is in reach', async () => {
     const started = await start(true, false, { kind: 'stream', isResumable: true });
     await Promise.all([0, 1].map((position) => started.control.stop(position)));
@@ -84,13 +84,13 @@
     expect(started.fatalCount).toBeLessThanOrEqual(MOST_SENDS);
   });
 
-  // Guards against ends in the middle of a stream, which the entry would resume elsewhere.
+  // Servers crash in the middle of a stream, which the entry would resume at another server.
   it('should reach few engines with a stream that may be resumed', async () => {
     const started = await start(true, false, { kind: 'stream', isResumable: true });
     await judgeSends(started, `${FATAL_TEXT} ${STREAM_TEXT}`);
   });
 
-  // Guards honest requests against connections that are reset by servers which live.
+  // Connections that are reset by running servers must not make a request suspect.
   it('should suspect no request whose connections were reset at servers that live', async () => {
     const started = await start(true);
     await sendInTurn(started, RESET_TEXT, 6);
@@ -98,12 +98,12 @@
     expect((await started.send(0, RESET_TEXT)).code).not.toBe('requestQuarantined');
   });
 
-  // Guards against servers that start again under their old id, told apart by their birth alone.
+  // Servers restart with the same id, so that only the start time distinguishes the incarnations.
   it('should count the starts of a server that keeps its id', async () => {
     await judgeSends(await start(true, true));
   });
 
-  // Guards against a new leader, or a new entry, that would let a refused request end servers.
+  // A new leader and a new entry must know of the quarantined request.
   it('should go on refusing it when the leader is lost, and at an entry that starts then', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
@@ -119,7 +119,7 @@
     expect(started.fatalCount).toBe(before);
   });
 
-  // Guards against a leader that is lost in the middle, with what it knew of single ends.
+  // The lost leader had counted single crashes, which must not be lost with it.
   it('should add ends up over a change of leaders', async () => {
     const started = await start(true);
     await started.send(0, FATAL_TEXT);
@@ -130,7 +130,7 @@
     expect((await started.listSuspects())[0]?.refusedMs).toBeGreaterThan(0);
   });
 
-  // Guards against a loss of power of all replicas after which everything begins anew.
+  // A power loss of all replicas must not clear the quarantine.
   it('should still be refused when all control replicas have started again', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
@@ -142,7 +142,7 @@
     expect(started.fatalCount).toBe(before);
   });
 
-  // Guards what one disk still holds against a leader whose own disk has lost it.
+  // The suspects on one disk must survive a leader whose own disk has lost them.
   it('should still be refused where one replica alone remembers it after a loss of power', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
@@ -156,7 +156,7 @@
     expect(started.fatalCount).toBe(before);
   });
 
-  // Guards the requests that run beside it: all but one of those under each end are innocent.
+  // All other requests that run on a crashing server are innocent.
   it('should refuse nobody else, and serve them once it is refused', async () => {
     const started = await start(true);
     const answers: SiteAnswer[] = [];
--- a/tests/relay/event-framer.spec.ts
+++ b/tests/relay/event-framer.spec.ts
@@ -23,8 +23,8 @@
     }), { seed: 3 });
   });
 
-  // A server dies in the middle of the sixth event; the caller must get five from it, and the
-  // others from the server where the stream goes on: none torn, missing or twice.
+  // A server crashes at any byte of the stream. The caller must get the whole events before that
+  // from it and the others from the server that resumes the stream: none partial, missing or twice.
   it('should let a stream go on elsewhere without a torn event', () => {
     fc.assert(fc.property(fc.nat({ max: 400 }), (length) => {
       const framer = new EventFramer();
--- a/tests/relay/failed-answers.spec.ts
+++ b/tests/relay/failed-answers.spec.ts
@@ -21,7 +21,7 @@
 
   afterEach(() => rig.close());
 
-  // A server's answer is refused, as another may be asked, and then the repeat isn't allowed.
+  // The answer must not be discarded for a retry that is then not allowed.
   it('should be passed on where the service has no repeats left', async () => {
     await start({}, fail, fail);
     vi.spyOn(rig.site.retries, 'take').mockReturnValue(false);
@@ -38,7 +38,8 @@
     await rig.close();
   });
 
-  // While it was looked up whether the server had ended, the entry's end refused it as not run.
+  // Fault: the entry shut down while it checked whether the server had crashed, and refused the
+  // request as not run.
   it('should never be refused as not run', async () => {
     const routing = makeRouting({ routes: [makeRoute({ kind: 'nonIdempotent' })] });
     rig = await RelayRig.start(routing, [(socket) => socket.destroy()]);
--- a/tests/relay/hostile-peers.spec.ts
+++ b/tests/relay/hostile-peers.spec.ts
@@ -15,10 +15,10 @@
 const CALLERS = 24;
 const PART_MS = 15;
 const SETTLE_MS = 60;
-/** Longer than any of the callers gives its request. */
+/** Longer than the time limit of any caller's request. */
 const OPEN_MS = 12_000;
 
-/** What a server sends of an answer, a part at a time; the id of the request is filled in. */
+/** Parts of answers that a server sends one after another; ID stands for the request's id. */
 const ANSWER_PARTS = [
   'HTTP/1.1 200 OK\r\nx-id: ID\r\ncontent-length: 5\r\n\r\n',
   'HTTP/1.1 200 OK\r\nx-id: ID\r\ntransfer-encoding: chunked\r\n\r\n',
@@ -42,7 +42,7 @@
   '5\r\nhello\r\n', '0\r\n\r\n', 'zz\r\nhello\r\n', 'hello', 'he', 'x'.repeat(300_000),
 ];
 
-/** What a caller sends. */
+/** Requests of callers; ID stands for the request's id. */
 const CALLS = [
   'POST /orders/7 HTTP/1.1\r\nhost: shop.example\r\nx-id: ID\r\nx-patience: 400\r\ncontent-length: 2\r\n\r\nab',
   'POST /once/7 HTTP/1.1\r\nhost: shop.example\r\nx-id: ID\r\nx-patience: 400\r\ncontent-length: 2\r\n\r\nab',
@@ -65,7 +65,7 @@
   '\u0016\u0003\u0001 garbage\r\n\r\n',
 ];
 
-/** How a peer goes away. */
+/** How a peer ends its connection. */
 type Leaving = 'stays' | 'ends' | 'resets';
 
 const leave: Record<Leaving, (socket: Socket) => void> = {
@@ -108,7 +108,7 @@
 
 const findId = (bytes: string): string => /x-id: (\S+)/i.exec(bytes)?.[1] ?? '';
 
-/** Sends a script's parts one after another, and goes away. */
+/** Sends the parts of a plan one after another and ends the connection. */
 const performPlan = async (socket: Socket, id: string, plan: Plan): Promise<void> => {
   await plan.parts.reduce(async (before, part) => {
     await before;
@@ -125,7 +125,7 @@
   plan: { calls: number[]; leaving: Leaving; afterMs: number; reads: boolean },
 ): Promise<void> => {
   const socket = new Socket();
-  socket.on('error', () => undefined); // Expected: peers break off.
+  socket.on('error', () => undefined); // Expected: peers reset connections.
   if (plan.reads) socket.on('data', () => undefined);
   await new Promise<void>((resolve) => {
     socket.connect(port, '127.0.0.1', resolve);
@@ -163,7 +163,7 @@
     former.forEach((listener) => process.on('uncaughtException', listener));
   });
 
-  // An entry ended by an error that nothing caught, and all its callers lost their connections.
+  // Fault: an uncaught error crashed the entry, and all its callers lost their connections.
   it('should go on, and serve the next request', async () => {
     await runSearchAsync(fc.asyncProperty(
       fc.array(answerPlan, { minLength: 8, maxLength: 8 }),
@@ -180,7 +180,7 @@
           method: 'POST', headers: { host: 'shop.example', 'x-id': 'sound' }, body: 'ab',
         });
         const sound = await answer.body.text();
-        // Whatever is not counted out holds the entry up when it is to end.
+        // A request that stays counted as open would delay the shutdown of the entry.
         await vi.waitFor(async () => {
           expect((await rig.metrics.open.get()).values[0]?.value ?? 0).toBe(0);
         }, { timeout: OPEN_MS });
--- a/tests/relay/leader-changes.spec.ts
+++ b/tests/relay/leader-changes.spec.ts
@@ -10,7 +10,7 @@
 const ENTRIES = 2;
 const SERVERS = 2;
 const BURSTS = 20;
-/** More than the servers have slots for, so that some wait for a place. */
+/** More requests than the servers have slots for, so that some wait. */
 const BURST = 25;
 const GAP_MS = 200;
 const LOSS_MS = 800;
@@ -44,7 +44,7 @@
 
   afterEach(() => site.close());
 
-  // Requests that waited for a place, or ran, ended without an answer when their leader was lost.
+  // Fault: requests that waited for a slot or ran got no answer when the leader was lost.
   it.each([
     ['what may run once', { kind: 'nonIdempotent' }, 'harmless'],
     ['what may be repeated', { kind: 'idempotent' }, 'harmless'],
--- a/tests/relay/leaving-servers.spec.ts
+++ b/tests/relay/leaving-servers.spec.ts
@@ -29,7 +29,7 @@
       Promise.resolve([]),
     ));
 
-  /** Control says again what it said at first: it has not heard that a server leaves. */
+  /** Control sends the first state again: it does not know yet that a server is leaving. */
   const announceReady = (started: RelayRig, born = 0): void => applyRecords(started.site.workers, [
     WorkerRecord.fromPartial({
       said: {
@@ -44,19 +44,19 @@
     rig = undefined;
   });
 
-  // Guards against requests to a server that leaves, until control has told of its announcement.
+  // The server must get no requests before control has distributed its own announcement.
   it.each([200, 404, 500, 503])('should get no request after an answer of status %i', async (status) => {
     const leaving = new SheddingServer(() => ({ status, isLeaving: true }));
     const started = await start({}, leaving.script, new SheddingServer(serveAll).script);
     await callInTurn(started, 6);
-    // Longer than what a failed request costs its server.
+    // Longer than the suspension of a server after a failed request.
     await pause(350);
     announceReady(started);
     expect(await callInTurn(started, 6)).toEqual([200, 200, 200, 200, 200, 200]);
     expect(leaving.arrivals).toHaveLength(1);
   });
 
-  // Guards against the last resort of a service: a server that leaves is none.
+  // A leaving server must not be used even if no other server is left.
   it('should get no request, nor the retry of one, where it is the only one', async () => {
     const leaving = new SheddingServer(() => ({ status: 503, isLeaving: true }));
     const started = await start({}, leaving.script);
@@ -76,7 +76,7 @@
     expect([await first, ...others]).toEqual([200, 200, 200, 200]);
   });
 
-  // Guards against a stream that breaks and goes on at a server that leaves.
+  // A broken stream must not be resumed at a leaving server.
   it('should not be where a stream goes on that another server broke off', async () => {
     const leaving = new SheddingServer(() => ({ status: 503, isLeaving: true }));
     const event = 'id: 1\ndata: x\n\n';
--- a/tests/relay/odd-answers.spec.ts
+++ b/tests/relay/odd-answers.spec.ts
@@ -46,7 +46,8 @@
     await rig.close();
   });
 
-  // An exception over a head would leave the caller without an answer, and the request open.
+  // An exception while the head is processed would leave the caller without an answer and the
+  // request open.
   it.each(kinds.flatMap((kind) => passed.map(([name, text]) => [kind, name, text] as const)))('should be passed on: %s, %s', async (kind, name, text) => {
     const status = text.includes('200') ? '200' : text.slice(9, 12);
     expect(await callShop(kind, text)).toMatch(new RegExp(`^HTTP/1.1 ${status} `, 'u'));
--- a/tests/relay/open-requests.spec.ts
+++ b/tests/relay/open-requests.spec.ts
@@ -45,8 +45,8 @@
     expect(await rig.countOpen()).toBe(0);
   }, { timeout: SETTLE_MS });
 
-  // A caller left while its request waited for a lease; the entry waited for its body, and a
-  // shutdown for the request, for half a minute.
+  // Fault: a caller disconnected while its request waited for a lease. The entry then waited half a
+  // minute for the body, and a shutdown waited for the request.
   it('should hold none whose caller left while it waited for a lease', async () => {
     vi.spyOn(rig.site, 'isServing', 'get').mockReturnValue(false);
     const socket = await openConnection(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 1\r\n\r\nx`);
@@ -65,7 +65,7 @@
     await waitNone();
   });
 
-  // Requests behind one another on a connection, whose caller leaves while the first is served.
+  // Several pipelined requests whose caller disconnects while the first one is served.
   it('should hold none of several whose caller left', async () => {
     const socket = await openConnection(`GET /orders/7 HTTP/1.1\r\n${HEAD}\r\n`.repeat(5));
     socket.destroy();
@@ -98,7 +98,7 @@
     expect(rig.site.workers.byId.get('w0')?.inFlight).toBe(0);
   });
 
-  // No server was asked, as the request cannot be written, and each of them was taken for lost.
+  // Fault: a request with two hosts cannot be written, and each server counted as unreachable.
   it('should refuse two hosts, and blame no server for them', async () => {
     const answer = await rig.send(`GET /orders/7 HTTP/1.1\r\n${HEAD}Host: b.example\r\n\r\n`);
     expect(answer).toMatch(/^HTTP\/1.1 400 /);
@@ -107,7 +107,7 @@
 });
 
 describe('a connection that is kept', () => {
-  // Each answer whose bytes had to wait left a listener on its connection, until that ended.
+  // Fault: each answer that was not written at once left a listener on its connection.
   it('should have no listener left once its answer is written', async () => {
     const open = new OpenRequests(new RelayMetrics());
     const socket = new EventEmitter();
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -9,13 +9,13 @@
 
 type Script = (news: PlaceNews, leader: ScriptedLeader) => void;
 
-/** A leader that answers by a script and notes what it was told. */
+/** A leader that replies by a script and records the messages that it receives. */
 class ScriptedLeader {
   readonly heard: PlaceNews[] = [];
 
   private listener: StreamListener<PlaceDecisions> | undefined;
 
-  /** The same for as long as this leader is known. */
+  /** The same object for the whole life of this leader. */
   readonly link = {
     openStream: (unused: unknown, listener: StreamListener<PlaceDecisions>) => {
       this.listener = listener;
@@ -64,8 +64,8 @@
 
 describe('asking the leader for places', () => {
   /*
-   * After a restart of all, a hundred requests that had been held came to the new leader at once,
-   * each as a call of its own. It took longer over them than an entry waits for a sign of life.
+   * Fault: after a restart of the whole site, the new leader received a hundred waiting requests at
+   * once, each as a separate call, and needed longer for them than the timeout of an entry.
    */
   it('should ask for requests of one moment in one message, and give each its own answer', async () => {
     const leader = new ScriptedLeader(grantAll);
@@ -77,8 +77,8 @@
   });
 
   /*
-   * In a burst each decision was followed by a call that asked anew for all that still waited. The
-   * leader's processor was full, it answered late, and entries chose engines that were full.
+   * Fault: in a burst, each decision was followed by a call that repeated all waiting requests. The
+   * leader was overloaded and answered late, and entries chose engines that were full.
    */
   it('should ask once for what waits, however many others are decided meanwhile', async () => {
     const leader = new ScriptedLeader(({ number, requests }, self) => {
@@ -105,7 +105,7 @@
     expect(leader.heard).toHaveLength(1);
   });
 
-  // The leader took the requests in and froze: without signs of life it would be waited for.
+  // The leader acknowledged the requests and froze: without a timeout the entry would wait for it.
   it('should leave the choice to the entry when a leader goes silent while requests wait', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
     const client = makeClient(() => leader);
@@ -113,8 +113,8 @@
   });
 
   /*
-   * The leader of a site of 79 entries spent half of its share of a processor on their messages, of
-   * which most told the pace of running streams, four times a second for each.
+   * Fault: the leader of a site with 79 entries spent half of its processor time on their messages.
+   * Most of them reported the pace of running streams, four times a second for each entry.
    */
   it('should tell the pace of streams less often, the more entries tell the same leader', async () => {
     const countMessages = async (entries: number): Promise<number> => {
@@ -136,7 +136,7 @@
       return leader.heard.length;
     };
     const [few, many] = await Promise.all([countMessages(8), countMessages(200)]);
-    // The request and its end; and some four messages a second, or one, in between.
+    // The request and its end, and about four messages a second, or one, in between.
     expect(few).toBeGreaterThanOrEqual(4);
     expect(many).toBeLessThanOrEqual(3);
   });
@@ -154,7 +154,7 @@
     expect((await waiting)?.workerId).toBe('for-a');
   });
 
-  // The leader decides on what was never asked, refuses without a reason, and says things twice.
+  // The leader sends decisions for unknown requests, wrong acknowledgements and duplicates.
   it('should bear decisions that answer nothing, and still hear its own', async () => {
     const leader = new ScriptedLeader(({ number }, told) => {
       told.tell(number + 7, ['unknown', '', '__proto__']);
@@ -170,8 +170,8 @@
   });
 
   /*
-   * The leader's reply was on its way when the entry gave it up and chose by itself. The slot was
-   * taken until the request's deadline, and others were refused for want of it.
+   * Fault: the leader's reply was in flight when the entry chose a server by itself. The slot
+   * stayed taken until the request's deadline, and other requests were refused because of it.
    */
   it('should give a place back that comes after it chose by itself', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
@@ -187,8 +187,8 @@
   });
 
   /*
-   * Another replica leads: it knows nothing of what waits and of what is held. What waited was not
-   * asked for again, and the slots in use counted as free.
+   * Fault: after a change of leaders, waiting requests were not sent to the new leader, and slots
+   * in use counted as free there.
    */
   it('should ask the next leader for what waits, and tell it what is held', async () => {
     const first = new ScriptedLeader(({ number, requests }, self) => {
@@ -215,7 +215,7 @@
     expect(await asked).toBeUndefined();
   });
 
-  // Guards against an end of a server that only a leader knew which is lost.
+  // A crash that only the lost leader knew of must be reported to the next one.
   it('should tell each leader once which servers ended, but not of a request served since', async () => {
     const leaders = [new ScriptedLeader(grantAll), new ScriptedLeader(grantAll)];
     let position = 0;
--- a/tests/relay/relay-shutdown.spec.ts
+++ b/tests/relay/relay-shutdown.spec.ts
@@ -8,17 +8,17 @@
 import { systemClock } from '../../src/utils/clock';
 
 const GRACE_MS = 3_000;
-/** Longer than an entry that leaves waits for another request. */
+/** Longer than an entry that shuts down waits for another request. */
 const RUN_MS = 600;
 
-/** An answer that is written as soon as its request has run. */
+/** An answer that counts as written as soon as its request has run. */
 const WRITTEN = {
   request: { socket: { destroyed: false } } as IncomingMessage,
   response: { writableFinished: true } as ServerResponse,
 };
 
-// Guards a request that is taken in the turn in which the last one before it ends: it was neither
-// waited for nor counted as having come, and was given up with most of the grace left.
+// Fault: a request that was accepted in the same turn of the event loop in which the previous one
+// ended was neither awaited nor counted as new. It was refused with most of the grace period left.
 it('should wait for a request that comes as the entry becomes idle', async () => {
   const openRequests = new OpenRequests({ open: { inc: vi.fn(), dec: vi.fn() } as never });
   const request = { run: () => pause(RUN_MS), endWithEntry: vi.fn(), breakOff: vi.fn() };
--- a/tests/relay/request-fingerprint.spec.ts
+++ b/tests/relay/request-fingerprint.spec.ts
@@ -48,7 +48,7 @@
     expect(others[0]).toMatch(/^[0-9a-f]{32}$/);
   });
 
-  // Guards against logs that cannot tell whether one request is under all servers that ended.
+  // Without the fingerprint, logs cannot show whether the same request crashed several servers.
   it('should stand in the line of each attempt that broke off, whatever the id of the request', () => {
     const [first, second] = collectFingerprints(['r1', 'r2']);
     expect(first).toBe(computeFingerprint(content));
--- a/tests/relay/resting-servers-site.spec.ts
+++ b/tests/relay/resting-servers-site.spec.ts
@@ -12,13 +12,13 @@
 const SENDS = 80;
 const GAP_MS = 25;
 const REST_MS = 2_500;
-/** Requests of an entry that may reach a server within a rest. */
+/** Most requests of an entry that may reach a server within a backoff. */
 const MOST_IN_REST = 2;
-/** Refusals of an entry that knows of no server to send to. */
+/** Result codes of an entry that knows no usable server. */
 const REFUSED_CODES = ['backendsResting', 'noBackend'];
-/** Half a second after an answer, requests may still arrive that were on their way. */
+/** Time after an answer in which requests that were in flight may still arrive, in milliseconds. */
 const ON_ITS_WAY_MS = 500;
-/** Long enough for a slot to become free while this process is held up. */
+/** Long enough for a slot to become free even while this process is busy. */
 const TARGET_MS = 2_000;
 
 const serveAll = (): ShedAnswer => ({ delayMs: 30 });
@@ -46,7 +46,7 @@
     site = undefined;
   });
 
-  // Guards against slots that the leader gives to entries which the engine turned away.
+  // The leader must not grant slots to entries that the engine asked for a backoff.
   it('should get one request of each entry, until the rest is over', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS);
     const started = await start(resting, new SheddingServer(serveAll));
@@ -55,7 +55,7 @@
     expect(answers.filter(({ code }) => REFUSED_CODES.includes(code))).toEqual([]);
   });
 
-  // Guards against slots of an engine that leaves, of which the leader has not heard.
+  // The leader may not know yet that an engine is leaving.
   it('should get one request of each entry that hears of its leaving', async () => {
     const leaving = new SheddingServer(() => ({ isLeaving: true }), ON_ITS_WAY_MS);
     const started = await start(leaving, new SheddingServer(serveAll));
--- a/tests/relay/resting-servers.spec.ts
+++ b/tests/relay/resting-servers.spec.ts
@@ -13,7 +13,7 @@
 import { SheddingServer } from '../fakes/sheddingServer';
 import type { ShedAnswer } from '../fakes/sheddingServer';
 
-/** Requests that may reach a server within a rest. */
+/** Most requests that may reach a server within a backoff. */
 const MOST_IN_REST = 2;
 const GAP_MS = 15;
 
@@ -31,7 +31,7 @@
   const startServers = async (...servers: readonly SheddingServer[]): Promise<RelayRig> => (
     start({}, ...servers.map(({ script }) => script)));
 
-  /** Sends requests at an even pace, whatever becomes of those before. */
+  /** Sends requests at a constant rate, without waiting for their answers. */
   const callFor = (started: RelayRig, ms: number, gapMs = GAP_MS): Promise<CallerAnswer[]> => (
     Promise.all(Array.from({ length: Math.floor(ms / gapMs) }, async (unused, position) => {
       await pause(position * gapMs);
@@ -43,7 +43,7 @@
     rig = undefined;
   });
 
-  // Guards against a pause of the entry's own, shorter than the rest, after which requests go on.
+  // The entry's own suspension is shorter than the backoff and must not end it.
   it('should get nothing until its rest is over while another server takes requests', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: 1_800 }));
     const other = new SheddingServer(serveAll);
@@ -53,7 +53,7 @@
     expect(answers.filter(({ status }) => status !== 200)).toEqual([]);
   });
 
-  // Guards against the end of a rest by an answer to a request that was sent before it.
+  // The answer to an earlier request must not end the backoff.
   it('should be left alone although it answers a request that it had taken before', async () => {
     const resting = new SheddingServer((count) => (
       count === 1 ? { delayMs: 120 } : { status: 503, restMs: 1_500 }));
@@ -63,7 +63,7 @@
     expect(resting.mostInRest).toBe(0);
   });
 
-  // Guards against the last resort of a service whose servers all rest, retries among it.
+  // If all servers are backing off, neither requests nor retries may use them as a last resort.
   it('should get two requests within its rest at most where all servers of a service rest', async () => {
     const servers = [1_200, 1_500].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
@@ -72,7 +72,7 @@
     expect(new Set(answers.map(({ status }) => status))).toEqual(new Set([503]));
   });
 
-  // Guards against a wait that its caller can't use, and against callers who come too early.
+  // Callers must neither wait without a chance of an answer nor retry too early.
   it('should let callers be refused at once with the shortest rest where all rest', async () => {
     const servers = [2_000, 3_000].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
@@ -87,7 +87,7 @@
     expect(new Set(times).size).toBeGreaterThan(10);
   });
 
-  // Guards a service against an outage of the entry's making, where each server sheds a part.
+  // If each server refuses some requests, the entry's backoffs must not cause an outage.
   it('should keep no service from being served whose servers shed by lot', async () => {
     const servers = [0, 1, 2].map((offset) => new SheddingServer((count) => (
       (7 * count + 3 * offset) % 10 < 3 ? { status: 503, restMs: 600 } : {})));
@@ -97,7 +97,7 @@
     expect(served / answers.length).toBeGreaterThan(0.8);
   });
 
-  // Guards against a stream that breaks and goes on at a server that rests.
+  // A broken stream must not be resumed at a server that is backing off.
   it('should not get the rest of a stream that another server broke off', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: 1_500 }));
     const event = 'id: 1\ndata: x\n\n';
@@ -110,7 +110,7 @@
     expect(resting.arrivals).toHaveLength(1);
   });
 
-  // Guards against a rest that is told beside a failure of the server's own.
+  // A failure of the server may also contain a backoff.
   it('should be left alone also where its answer does not say that it did not run the request', async () => {
     const resting = { arrivals: 0 };
     const failOnce: ServerScript = (socket) => {
@@ -123,7 +123,7 @@
     expect(resting.arrivals).toBe(1);
   });
 
-  // Guards against any other order of answers and rests that lets a third request through.
+  // No order of answers and backoffs may let a third request through.
   it('should get two requests within any rest at most whatever servers answer', async () => {
     const answer = fc.record({
       status: fc.constantFrom(200, 200, 200, 500, 503, 503),
--- a/tests/relay/routed-request.spec.ts
+++ b/tests/relay/routed-request.spec.ts
@@ -33,7 +33,7 @@
   };
 
   const callShop = async (path = '/orders/7', options: RequestInit = {}): Promise<Response> => {
-    // fetch sets no Host of its own choosing; the rig's host is sent raw where it matters.
+    // fetch cannot set the Host header, so the request is sent as raw bytes.
     const text = await rig?.send(`${options.method ?? 'GET'} ${path} HTTP/1.1\r\n${HOST}${options.body ? `content-length: ${String(options.body).length}\r\n` : ''}connection: close\r\n\r\n${String(options.body ?? '')}`, 2_500) ?? '';
     const status = Number(/^HTTP\/1.1 (\d+)/.exec(text)?.[1] ?? 0);
     return new Response(text.slice(text.indexOf('\r\n\r\n') + 4), { status: status || 599, headers: { 'x-head': encodeURIComponent(text.slice(0, text.indexOf('\r\n\r\n'))) } });
@@ -56,8 +56,8 @@
     expect(received[0]).not.toMatch(/k1/);
   });
 
-  // A server dies in the middle of a plain answer. The other one is asked, as the route allows it,
-  // and its answer must not be put behind the half that the caller had of the first.
+  // A server crashes in the middle of an answer that is not a stream. The retry's answer must not
+  // be appended to the first half of the first answer.
   it('should answer with one whole answer when a server breaks off', async () => {
     const breakOff: ServerScript = (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\ncontent-length: 9\r\n\r\nhalf');
@@ -71,7 +71,7 @@
     if (answer.status === 200) expect(body).toBe('fine');
   });
 
-  // A door code is issued, the connection breaks before the answer: a second send would issue two.
+  // The server may have run the request before its connection broke: a retry could run it twice.
   it('should never send twice what may run once, when its answer is lost', async () => {
     const dropAll: ServerScript = (socket) => socket.destroy();
     const started = await start({ kind: 'nonIdempotent' }, dropAll, dropAll);
@@ -88,7 +88,7 @@
     expect(started.received).toHaveLength(2);
   });
 
-  // An answer of an earlier request comes late, on the connection where this one's is due.
+  // The late answer of an earlier request arrives on the connection of this request.
   it('should not take the answer of another request for its own', async () => {
     const sendOther: ServerScript = (socket) => sendAnswer(socket, 'other', 'not yours');
     const started = await start({ kind: 'nonIdempotent' }, sendOther);
@@ -106,9 +106,9 @@
   });
 
   /*
-   * An order was answered 503, which says that it has not run; the caller sent it anew elsewhere
-   * and it was carried out twice. Its first try had reached a server, which broke off, and for the
-   * second there was no server: the refusal told of the second try alone.
+   * Fault: a request was refused with 503, which states that it has not run, and its caller sent it
+   * again, so that it ran twice. Its first attempt had reached a server that broke off, and the
+   * refusal described only the second attempt, for which there was no server.
    */
   it('should not say of a request that it has not run when its first try may have', async () => {
     const breakOff: ServerScript = (socket) => socket.destroy();
@@ -124,8 +124,8 @@
     expect(started.received).toHaveLength(1);
   });
 
-  // A stream that may be resumed loses its server in the middle of an event: the caller gets each
-  // event once and whole, from two servers, in one answer.
+  // The server of a resumable stream crashes in the middle of an event. The caller gets each event
+  // once and complete, from two servers, in one answer.
   it('should go on with a stream at another server after its last whole event', async () => {
     const serve: ServerScript = (socket, request) => {
       const last = Number(/x-last: (\d+)/.exec(request)?.[1] ?? 0);
@@ -142,8 +142,8 @@
     expect(ids).toEqual([1, 2, 3, 4, 5, 6, 7, 8, 9]);
   });
 
-  // A server answers without a length, so that the answer ends with the connection, and crashes in
-  // the middle: the reset must not be taken for the end, or half an answer looks whole.
+  // A server crashes in the middle of an answer without a length, which ends with its connection.
+  // If the reset counted as the end, half an answer would look complete.
   it('should not take a reset for the end of an answer without a length', async () => {
     const resetAll: ServerScript = (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\nconnection: close\r\n\r\nhalf of it');
@@ -155,8 +155,8 @@
     expect(answer.status).toBe(502);
   });
 
-  // A server that crashes in the middle of an answer without a length may close its connection in
-  // order. Framed anew on its way, the half that came would be told to the caller as whole.
+  // A server that crashes in the middle of an answer without a length may close its connection
+  // normally. With chunked encoding added, the first half would look complete to the caller.
   it('should pass an answer without a length on without one, ending with the connection', async () => {
     const endAll: ServerScript = (socket) => {
       socket.end('HTTP/1.1 200 OK\r\nx-id: r1\r\nconnection: close\r\n\r\nall of it');
@@ -226,7 +226,7 @@
     expect(started.received).toHaveLength(0);
   });
 
-  // A caller hides a second request in the body of the first, by two lengths that contradict.
+  // Request smuggling: two contradicting lengths hide a second request in the body of the first.
   it('should refuse a request with two ways of telling its length', async () => {
     const started = await start({}, answerAll);
     const inner = 'GET /orders/9 HTTP/1.1\r\nHost: shop.example\r\nx-id: r9\r\n\r\n';
@@ -245,7 +245,7 @@
     expect((await callShop('/orders/1', { method: 'POST', body: 'short' })).status).toBe(200);
   });
 
-  // A server sends another answer right behind a whole one; whatever is sent next over that
+  // A server sends a second answer directly after a complete one. The next request on that
   // connection would get it.
   it('should never reuse a connection with bytes behind a whole answer', async () => {
     const sendTwice: ServerScript = (socket, request) => {
--- a/tests/relay/site-watch.spec.ts
+++ b/tests/relay/site-watch.spec.ts
@@ -54,15 +54,15 @@
   });
 
   /*
-   * The leader of a site of two hundred entries dies. Each entry asked all five replicas, four to
-   * five times a second: 800 questions a second for each replica that had to elect the next leader,
-   * which took its whole share of a processor, and the election failed again and again.
+   * Fault: when the leader of a site with 200 entries crashed, each entry asked all five replicas
+   * four to five times a second. The 800 requests a second used up the processor time of each
+   * replica, so that the election of the next leader failed repeatedly.
    */
   it('should ask few replicas, and seldom, while they know no leader either', async () => {
     const asked = await listen();
     start(asked.addresses);
     await pause(2_000);
-    // Three replicas, so that one answers where two are lost; once a second; and the first time.
+    // The first search and one search a second, each with three replicas.
     expect(asked.questions).toBeLessThanOrEqual(9);
   });
 
@@ -76,7 +76,7 @@
     expect(systemClock.now() - startedAt).toBeLessThan(250);
   });
 
-  // An entry ended, or asked no more, as a document could not be read.
+  // Fault: an entry crashed or stopped its watch because a document could not be read.
   it('should go on asking after a document whose reading fails, and log it', async () => {
     const asked = await listen();
     const error = vi.fn<Logger['error']>();
@@ -93,21 +93,22 @@
   });
 
   /*
-   * All processes lose power together. An entry that is back before the replicas opened a fresh
-   * connection to each of them every 40 ms, for as long as it had started itself.
+   * Fault: after a power loss of the whole site, an entry that started before the replicas opened a
+   * new connection to each of them every 40 ms.
    */
   it('should try replicas that are down less and less often', async () => {
     const calls = vi.spyOn(RpcLink.prototype, 'call');
     const addresses = await Promise.all(Array.from({ length: 3 }, findFreeAddress));
     start(addresses);
     await pause(2_000);
-    // Pauses of 40, 80, 160 ms and so on: some ten rounds in two seconds, in place of fifty.
+    // Delays of 40, 80, 160 ms and so on: about ten rounds in two seconds instead of fifty.
     expect(calls.mock.calls.length).toBeLessThanOrEqual(3 * 12);
   });
 
   /*
-   * Two hundred entries asked the leader of control five times a second each, which filled it
-   * without a single request. The more entries ask, the longer each lets its question be held.
+   * Fault: 200 entries sent five watch requests a second each, which used up the processor time of
+   * the leader without any caller. The more entries there are, the longer each lets the leader hold
+   * its watch request.
    */
   it('should let its question be held longer, the more entries ask the same leader', async () => {
     const asked = await listen();
@@ -117,14 +118,14 @@
     await pause(300);
     const before = asked.questions;
     await pause(2_000);
-    // 400 questions a second of 200 entries: two a second of each.
+    // 400 watch requests a second of 200 entries: two a second of each.
     expect(asked.questions - before).toBeLessThanOrEqual(5);
     expect(asked.holdMs).toBeLessThan(LEASE_MS / 3);
   });
 
   /*
-   * An entry without a request woke 33 times a second: each end of its five connections pinged the
-   * other every second, though four of them carry nothing and the fifth is watched by itself.
+   * Fault: an idle entry woke up 33 times a second, because both ends of its five connections sent
+   * a ping every second. Four of them are unused, and the fifth has a timeout of its own.
    */
   it('should exchange nothing but its questions while it stands by', async () => {
     const asked = await listen();
@@ -134,7 +135,7 @@
     await pause(1_500);
     const before = asked.countPieces();
     await pause(2_000);
-    // Two questions a second, each a piece either way, and what the protocol says in between.
+    // Two watch requests a second, each one chunk in either direction, and protocol messages.
     expect(asked.countPieces() - before).toBeLessThanOrEqual(2 * (2 * 2 + 2));
   });
 });
--- a/tests/relay/slow-engines.spec.ts
+++ b/tests/relay/slow-engines.spec.ts
@@ -9,7 +9,7 @@
 const ENTRIES = 2;
 const SERVERS = 3;
 const ROUNDS = 6;
-/** Fewer than the servers have slots for. */
+/** Fewer requests than the servers have slots for. */
 const BURST = 14;
 const GAP_MS = 1_000;
 
@@ -18,7 +18,8 @@
 
   afterEach(() => site.close());
 
-  // In a burst every engine begins late; requests were given up at each, and found no other one.
+  // Fault: in a burst all engines answered late, and requests were aborted at each of them without
+  // finding another one.
   it.each([true, false])('should answer what they took, placed by the leader: %s', async (isEngine) => {
     site = await RoutedSite.start({
       services: [{ name: 'rooms', maxConnections: 100, isEngine }],
--- a/tests/relay/slow-servers.spec.ts
+++ b/tests/relay/slow-servers.spec.ts
@@ -15,7 +15,7 @@
 const SLOW_MS = 900;
 const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\nconnection: close\r\n\r\n';
 
-/** Sound, and still at work when its silence is noticed. */
+/** A working server whose answer starts after the entry counts it as unresponsive. */
 const answerLate: ServerScript = (socket) => {
   setTimeout(() => sendAnswer(socket, 'r1', 'late'), SLOW_MS);
 };
@@ -39,7 +39,7 @@
 
   const callShop = (): Promise<string> => rig.send(REQUEST, 2_500);
 
-  /** The leader gives w0 for the first try, and what the test says for the others. */
+  /** Makes the leader grant w0 for the first try and `placeAgain` decide on the others. */
   const placeFirst = (placeAgain: (request: PlaceRequest) => Promise<PlaceReply>): void => {
     vi.spyOn(rig.placeClient, 'place').mockImplementation((request) => (
       request.tried.length === 0
@@ -52,13 +52,13 @@
     await rig.close();
   });
 
-  // The only server of a service works on a request; it is given up, and no other is there.
+  // Fault: the request was aborted at the only server of its service, which was running it.
   it('should wait for it where no other server is there', async () => {
     await start({}, answerLate);
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
   });
 
-  // A request is given up at a server that works on it, and its repeat isn't allowed any more.
+  // Fault: the request was aborted at the server that was running it, though no retry was allowed.
   it('should wait for it where the service has no repeats left', async () => {
     await start({}, answerLate, answerLate);
     vi.spyOn(rig.site.retries, 'take').mockReturnValue(false);
@@ -66,7 +66,8 @@
     expect(rig.received).toHaveLength(1);
   });
 
-  // A request is given up at an engine that works on it, and the leader has no slot for its repeat.
+  // Fault: the request was aborted at the engine that was running it, before the leader refused a
+  // slot for the retry.
   it('should wait for it where the leader refuses another place', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => Promise.resolve(PlaceReply.fromPartial({
@@ -75,7 +76,7 @@
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
   });
 
-  // A request is given up at an engine that works on it, while its repeat waits for a slot.
+  // Fault: the request was aborted at the engine that was running it while its retry waited.
   it('should take its answer when it comes before another place', async () => {
     await start(engines, answerLate, answerAtOnce);
     const report = vi.spyOn(rig.placeClient, 'report');
@@ -88,7 +89,8 @@
     expect(rig.findServer(1).requests).toHaveLength(0);
   });
 
-  // A server is taken for silent that has begun its answer, as the caller has nothing of it yet.
+  // A server that has started its answer must not count as unresponsive because the entry still
+  // buffers that answer.
   it('should stay where a plain answer has begun', async () => {
     await start({}, (socket) => {
       socket.write('HTTP/1.1 200 X\r\nx-id: r1\r\ncontent-length: 4\r\n\r\nla');
@@ -98,7 +100,8 @@
     expect(rig.findServer(1).requests).toHaveLength(0);
   });
 
-  // A request is given up at a server that works on it, and the entry ends too soon for its repeat.
+  // Fault: the request was aborted at the server that was running it, though the entry shuts down
+  // too early for a retry.
   it('should wait for it where the entry leaves', async () => {
     await start({}, answerLate, answerLate);
     const asked = callShop();
@@ -108,7 +111,8 @@
     expect(rig.received).toHaveLength(1);
   });
 
-  // A request is given up at an engine that works on it, and became suspect while it waited.
+  // Fault: the request was aborted at the engine that was running it, though it had become suspect
+  // while its retry waited for a slot.
   it('should wait for it where it may not be repeated by the time that it has a place', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => {
--- a/tests/relay/stopping-connections.spec.ts
+++ b/tests/relay/stopping-connections.spec.ts
@@ -10,7 +10,7 @@
 import { makeStoppingRouting } from '../fakes/stoppingRoutes';
 import type { StoppingRoute } from '../fakes/stoppingRoutes';
 
-/** Longer than an entry that leaves waits for another request. */
+/** Longer than an entry that shuts down waits for another request. */
 const HELD_UP_MS = 400;
 
 let site: StoppingSite;
@@ -21,7 +21,7 @@
 
 const { askFor, makeRequest } = makeStoppingCalls(() => site);
 
-/** Keeps this process from anything else, as a machine that is busy or paused does. */
+/** Blocks this process, as a busy or paused machine does. */
 const holdUp = (ms: number): void => {
   const until = performance.now() + ms;
   while (performance.now() < until);
@@ -30,8 +30,8 @@
 afterEach(() => site.close());
 
 describe('a kept connection of an entry that leaves', () => {
-  // Guards a request that came while the process was held up: its time to be quiet was over before
-  // anything was read.
+  // A request arrives while the process is blocked: the entry must read input before it decides
+  // that no more requests arrive.
   it('should answer a request that was written while the entry was held up', async () => {
     await start();
     const kept = await site.open();
@@ -41,7 +41,7 @@
     const stopping = site.stop();
     checkStatus(await streamed, 200);
     await pause(REACH_MS);
-    // Timers come next in the loop, and sockets after them.
+    // The event loop runs timers next, and reads sockets after them.
     await endTurn();
     const asked = askFor('brief', {}, kept);
     holdUp(HELD_UP_MS);
@@ -50,7 +50,7 @@
     await stopping;
   });
 
-  // Guards callers against an answer that is not the entry's own and says not when to come back.
+  // The HTTP server's own refusal would have no Retry-After.
   it.each<[string, number]>([
     ['before the port is closed', LOCATE_MS / 2],
     ['after the port is closed', LOCATE_MS + REACH_MS],
@@ -67,7 +67,7 @@
     await stopping;
   });
 
-  // Guards against callers who send one more request on a connection that is about to end.
+  // Callers must not send another request on a connection that is about to close.
   it.each<[StoppingRoute, Headers]>([
     ['long', { 'x-lasts': LOCATE_MS }],
     ['stream', { 'x-form': 'stream', 'x-head-after': LOCATE_MS }],
@@ -82,7 +82,7 @@
     await stopping;
   });
 
-  // Guards against a request that runs for nobody, behind one whose answer closed the connection.
+  // If the first answer closed the connection, the second request would run without an answer.
   it('should answer each of two requests that are written at once', async () => {
     await start();
     const kept = await site.open();
@@ -99,7 +99,7 @@
     await stopping;
   });
 
-  // Guards what is open against an operator, or a supervisor, that asks twice.
+  // A second signal of an operator or supervisor must not end open requests early.
   it('should end as the first signal says when a second one comes', async () => {
     await start();
     const asked = askFor('long', { 'x-lasts': 2 * LOCATE_MS });
--- a/tests/relay/stopping-entry-search.spec.ts
+++ b/tests/relay/stopping-entry-search.spec.ts
@@ -7,17 +7,17 @@
 
 const MOST_ENTRIES = 3;
 const KEPT = 6;
-/** When requests are sent, relative to the signal to their entry, in milliseconds. */
+/** Bounds on when requests are sent, relative to the signal to their entry, in milliseconds. */
 const FIRST_AT = -400;
 const LAST_AT = 900;
 const MOST_HOLD_MS = 600;
-/** Held until they are whole, passed on as they come, and more than sockets take. */
+/** Answers that are buffered, that are passed on directly, and that exceed the socket buffers. */
 const SIZES = [1, 60_000, 200_000, 4_000_000] as const;
 const REQUESTS = 40;
-/** Schedules that are played beside each other, as most of each is waiting. */
+/** Schedules that run at the same time, as each spends most of its time waiting. */
 const SCHEDULES = 4;
 
-/** Evenly, as each moment around the signal is one to look at. */
+/** Unbiased, as all moments around the signal matter equally. */
 const drawTime = fc.noBias(fc.integer({ min: FIRST_AT, max: LAST_AT }));
 
 const drawRequest: fc.Arbitrary<PlannedRequest> = fc.record({
@@ -46,7 +46,7 @@
 const drawPlans = fc.noShrink(fc.array(drawPlan, { minLength: SCHEDULES, maxLength: SCHEDULES }));
 
 describe('entries that stop under requests of every kind', () => {
-  // Guards against requests that are cut, refused untruly or run twice by a planned end.
+  // A planned shutdown must not cut requests off, refuse them with a wrong state or run them twice.
   it('should answer whole, or refuse as not run, all that they read whole', async () => {
     const property = fc.asyncProperty(drawPlans, async (plans) => {
       const faults = await Promise.all(plans.map((plan) => StoppingRun.perform(plan)));
--- a/tests/relay/stopping-entry.spec.ts
+++ b/tests/relay/stopping-entry.spec.ts
@@ -15,12 +15,12 @@
 import { findPath, makeStoppingRouting } from '../fakes/stoppingRoutes';
 import type { StoppingRoute } from '../fakes/stoppingRoutes';
 
-/** An answer that outlasts the grace. */
+/** Duration of an answer that takes longer than the grace period. */
 const LONG_MS = 1_500;
-/** One whose last moments are long enough to send a request in them. */
+/** A grace period whose last tenth is long enough to send a request in it. */
 const LONG_GRACE_MS = 4 * GRACE_MS;
 const LONG_EVENTS = 60;
-/** More than the limit of the document, and more than is on its way at once. */
+/** More than the limit of the document, and more than fits into the buffers of a connection. */
 const BODY_BYTES = 600_000;
 const BODY_LIMIT = 100_000;
 
@@ -38,7 +38,7 @@
 });
 
 describe('a request that comes while an entry leaves', () => {
-  // Guards against an answer that was begun though it could not end, and is cut by the end.
+  // An answer that cannot be completed before the entry ends must not be started.
   it.each<[StoppingRoute, Headers]>([
     ['long', {}],
     ['longOnce', {}],
@@ -59,7 +59,7 @@
     await stopping;
   });
 
-  // Guards against a first guess at the pace of servers, which is not what the entry has seen.
+  // Default estimates of a server's pace must not count as measurements.
   it.each<[string, Headers]>([
     ['which is not told', {}],
     ['which is told', { [TOKENS_HEADER]: LONG_EVENTS }],
@@ -74,7 +74,7 @@
     await stopping;
   });
 
-  // Guards against refusals of all that comes, though callers are still sent here for a while.
+  // Callers are still sent to the entry for a while, so it must not refuse every request.
   it.each<StoppingRoute>(['brief', 'briefOnce'])('should be served where its answer ends in time: %s', async (route) => {
     await start();
     const kept = await site.open();
@@ -91,7 +91,7 @@
 });
 
 describe('requests that are open when the grace is over', () => {
-  // Guards against callers who see their connection closed and cannot know whether it ran.
+  // A caller whose connection is closed without an answer cannot know whether its request ran.
   it.each<[string, StoppingRoute, Headers]>([
     ['plain', 'long', { 'x-lasts': 4 * LONG_MS }],
     ['plain, which may run once', 'longOnce', { 'x-lasts': 4 * LONG_MS }],
@@ -110,8 +110,8 @@
   });
 
   /*
-   * Guards requests that were held for a place: with the stream to the leader closed, they were
-   * sent to a server that the entry chose by itself, and ended with the process a moment later.
+   * Fault: when the stream to the leader was closed, requests that waited for a slot were sent to a
+   * server that the entry chose by itself, and were aborted when the process ended.
    */
   it.each<StoppingRoute>(['long', 'longOnce', 'stream'])('should be refused as not run, and not run, while they wait for a place: %s', async (route) => {
     await start({
@@ -130,7 +130,7 @@
     checkRefused(result);
   });
 
-  // Guards requests that were held until the entry has a lease.
+  // Covers requests that wait until the entry has a lease.
   it('should be refused as not run while they wait for a lease', async () => {
     await start({ isLeased: false });
     const asked = askFor('long');
@@ -143,7 +143,8 @@
     checkRefused(await late);
   });
 
-  // Guards what comes after the others were given up: it was cut while it waited for a lease.
+  // Fault: a request that arrived after the open ones were refused was cut off while it waited for
+  // a lease.
   it('should be refused as not run when they come in the last moments', async () => {
     await start({ graceMs: LONG_GRACE_MS });
     const kept = await site.open();
@@ -158,7 +159,7 @@
     checkRefused(result);
   });
 
-  // Guards all that is open against a leader whose answer cannot be taken in.
+  // A reply of the leader that cannot be processed must not abort open requests.
   it('should be answered where the leader cannot be told', async () => {
     await start({ isHeld: true });
     const asked = askFor('long', { 'x-lasts': LOCATE_MS });
@@ -170,7 +171,7 @@
     checkStatus(await asked, 200);
   });
 
-  // Guards against a stream that is broken off and looks whole.
+  // An aborted stream must not look complete.
   it('should be broken off in the middle of a stream that runs on', async () => {
     await start();
     const asked = askFor('stream', { 'x-form': 'stream', 'x-lasts': 4 * LONG_MS });
@@ -183,7 +184,7 @@
 });
 
 describe('an entry whose grace is shorter than callers may use an old answer', () => {
-  // Guards against a process that is killed while it still serves callers as before.
+  // Otherwise the process is killed while it still serves callers as before.
   it('should answer what is open, and end, within the grace', async () => {
     const graceMs = LOCATE_MS / 2;
     await start({ graceMs });
@@ -208,7 +209,8 @@
     return [caller, asked];
   };
 
-  // Guards the tail of an answer: a connection whose answer was ended counted as idle.
+  // Fault: a connection whose answer was ended but not fully written counted as idle, and the end
+  // of the answer was lost.
   it.each<StoppingRoute>(['stream', 'long'])('should be written to the end after the port is closed: %s', async (route) => {
     await start();
     const [caller, asked] = await fill(route);
@@ -219,7 +221,7 @@
     await stopping;
   });
 
-  // Guards against a process that ends once no request is open, with bytes still in its sockets.
+  // The process must not end while bytes are left in its sockets, even if no request is open.
   it('should be written to the end while the grace lasts', async () => {
     await start({ graceMs: 4 * GRACE_MS });
     const [caller, asked] = await fill('stream');
@@ -238,7 +240,7 @@
     headerBytes: 16_384, bodyBytes: BODY_LIMIT, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000,
   };
 
-  // Guards the refusal against a reset: bytes that nobody reads destroy what was sent before.
+  // Closing a connection with unread input resets it, and the caller then loses the refusal.
   it.each<[string, string, number]>([
     ['too long a body', findPath('brief'), 413],
     ['no route', '/nowhere/7', 404],
@@ -250,7 +252,7 @@
     await stopping;
   });
 
-  // Guards the same where too long a head is refused, at any time.
+  // The same for a head that is too long, also while the entry does not shut down.
   it('should reach the caller whole: too long a head', async () => {
     await start();
     const caller = await site.open();
@@ -260,7 +262,7 @@
     }), 431);
   });
 
-  // Guards the same for what a kept connection brings after the port is closed.
+  // The same for a request on an open connection after the port is closed.
   it('should reach the caller whole: the entry leaves', async () => {
     await start();
     const kept = await site.open();
--- a/tests/relay/watch-stream.spec.ts
+++ b/tests/relay/watch-stream.spec.ts
@@ -45,8 +45,8 @@
   });
 
   /*
-   * A leader freezes with a question open, and answers it when it wakes. The entry has asked
-   * elsewhere by then: the late answer must not be taken for that to a later question.
+   * A frozen leader answers an open request when it resumes. The entry has opened another stream by
+   * then, and the late reply must not be used for a later request.
    */
   it('should end with a question that is not answered in time, and take no late answer', async () => {
     let frozen: Stream | undefined;
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -74,7 +74,7 @@
 const askForRest = (site: RelaySite, workerId: string, restMs: number): void => (
   noteNotice(site, workerId, { restMs, isLeaving: false }));
 
-/** A leader that names one server for every request. */
+/** A leader that grants a slot at the same server for every request. */
 class StubbornLeader {
   readonly reports: PlacedReport[] = [];
 
@@ -94,8 +94,8 @@
 
 describe('picking a server for a request', () => {
   /*
-   * A server that had said that it leaves got new requests and cut them off. A leader that was cut
-   * off from the others, and had not heard of it, still gave out its slots.
+   * Fault: a leaving server got new requests and cut them off. A leader that was cut off from the
+   * other replicas did not know that the server was leaving and still granted its slots.
    */
   it('should not take a server that leaves from a leader that has not heard of it', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'draining'), makeRecord('w2', 'ready')]);
@@ -107,8 +107,8 @@
   });
 
   /*
-   * Callers gave up while their requests waited for a slot. The requests kept their places before
-   * those of callers who still waited, and were then charged to their accounts for nothing.
+   * Fault: requests whose callers had disconnected while they waited for a slot stayed in the queue
+   * before those of other callers, and were then charged to their accounts.
    */
   it('should take a request back that waits for a place when its caller has gone', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
@@ -133,7 +133,7 @@
     expect(cancelled).toHaveLength(1);
   });
 
-  // Guards a server that asked this entry for rest against places that the leader gives there.
+  // The leader may grant slots at a server that asked this entry for a backoff.
   it('should not take a place at a server that asked for rest', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
     const leader = new StubbornLeader('w1');
@@ -145,7 +145,7 @@
     expect(new Set(leader.reports.map(({ phase }) => phase))).toEqual(new Set(['dropped']));
   });
 
-  // Guards callers against a wait at the leader for a place that this entry may not take.
+  // Callers must not wait for a slot that this entry would not use.
   it('should ask for no place at engines that all asked for rest', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
     const leader = new StubbornLeader('w1');
@@ -156,7 +156,7 @@
     expect(leader.avoided).toEqual([]);
   });
 
-  // Guards against a leader that hears of a server's leaving later than its entries do.
+  // The leader may learn that a server is leaving later than its entries do.
   it('should not take a place at a server that said in an answer that it leaves', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
     const leader = new StubbornLeader('w1');
@@ -168,7 +168,7 @@
     expect(new Set(leader.reports.map(({ phase }) => phase))).toEqual(new Set(['dropped']));
   });
 
-  // Guards callers against a wait at the leader after another request took what the rest allows.
+  // The second request must not wait at the leader once another one used up the backoff's probes.
   it('should refuse at once what is left over when a place at a server that rests is taken', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
     const leader = new StubbornLeader('w1');
