--- a/tests/relay/answer-writer.spec.ts
+++ b/tests/relay/answer-writer.spec.ts
@@ -8,7 +8,7 @@
 describe('writing an answer', () => {
   // Fault: a chunk arrived from a server after the caller was refused. The write emitted an 'error'
   // event without a listener, which crashed the process and closed all its connections.
-  it('should drop what comes after its end', async () => {
+  it('should drop chunks that arrive after its end', async () => {
     const failures: Error[] = [];
     const rooms: boolean[] = [];
     const server = createServer((incoming, response) => {
--- a/tests/relay/busy-process.spec.ts
+++ b/tests/relay/busy-process.spec.ts
@@ -21,7 +21,7 @@
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, ms);
 };
 
-describe('connections of callers at a process that was busy', () => {
+describe('connections of callers to a process that was busy', () => {
   let rig: RelayRig;
 
   let socket: Socket;
@@ -51,7 +51,7 @@
   });
 
   // A complete request waits unread while the time limit for its head passes.
-  it('should serve a request that came in time on a new connection', async () => {
+  it('should serve a request that was sent in time on a new connection', async () => {
     await start({ headerTimeoutMs: 500 });
     socket.write(REQUEST);
     keepBusy(CHECK_MS + 200);
@@ -60,7 +60,7 @@
   });
 
   // A request that was sent in time waits unread while the idle time of its connection passes.
-  it('should serve a request that came in time on a kept connection', async () => {
+  it('should serve a request that was sent in time on an idle connection', async () => {
     await start({ idleTimeoutMs: 500 });
     socket.write(REQUEST);
     await pause(100);
--- a/tests/relay/caller-connections.spec.ts
+++ b/tests/relay/caller-connections.spec.ts
@@ -47,7 +47,7 @@
   });
 
   // Fault: a head that took too long was answered with 400, as if the request were invalid.
-  it('should tell a caller that its head took too long, and close', async () => {
+  it('should answer a head that takes too long with 408 and close', async () => {
     await start();
     socket.write('GET /orders/7 HTTP/1.1\r\n');
     await pause(CHECK_MS + 600);
@@ -59,7 +59,7 @@
   it.each([
     ['a head that takes too long', 'GET /orders/8 HTTP/1.1\r\n'],
     ['no request at all', 'what is this?\r\n\r\n'],
-  ])('should first end the answer that is under way: %s', async (name, behind) => {
+  ])('should first finish the answer in progress: %s', async (name, behind) => {
     await start();
     socket.write(REQUEST);
     await pause(100);
@@ -71,7 +71,7 @@
 
   // Fault: a request that arrived while its connection was being refused was run, although its
   // caller was told that it was not.
-  it('should run nothing that comes once it was refused', async () => {
+  it('should run no request that arrives after the refusal', async () => {
     await start({ allowHalfOpen: true });
     await pause(CHECK_MS + 600);
     expect(text).toMatch(/^HTTP\/1.1 408 /);
--- a/tests/relay/changes-under-requests.spec.ts
+++ b/tests/relay/changes-under-requests.spec.ts
@@ -61,7 +61,7 @@
   }],
 ];
 
-describe('requests under which the site changes', () => {
+describe('requests during which the site changes', () => {
   let rig: RelayRig;
 
   let socket: Socket;
@@ -92,7 +92,7 @@
   }, { timeout: 3 * PIECES * PIECE_MS });
 
   // Fault: a stream was aborted because its route, its server or its entry's lease was gone.
-  it.each(changes)('should end a stream: %s', async (name, change) => {
+  it.each(changes)('should complete a stream: %s', async (name, change) => {
     socket.write(`GET /orders/s HTTP/1.1\r\n${HEAD}\r\n`);
     await pause(2.5 * PIECE_MS);
     change(rig);
@@ -100,7 +100,7 @@
     expect(text).toMatch(/^HTTP\/1.1 200 /);
   });
 
-  it.each(changes)('should answer what may run once: %s', async (name, change) => {
+  it.each(changes)('should answer a request that may run only once: %s', async (name, change) => {
     socket.write(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 3\r\n\r\nabc`);
     await pause(2.5 * PIECE_MS);
     change(rig);
@@ -109,7 +109,7 @@
   });
 
   // The limits that admitted a request stay in force until its body has been read.
-  it.each(changes)('should answer a request whose body is under way, whole or as not run: %s', async (name, change) => {
+  it.each(changes)('should answer a request whose body is being received, or refuse it as not run: %s', async (name, change) => {
     socket.write(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 3\r\n\r\na`);
     await pause(PIECE_MS);
     change(rig);
@@ -122,7 +122,7 @@
   });
 
   // A caller may use an idle connection within the time that was announced with its last answer.
-  it('should keep an idle connection for the time that was told with its last answer', async () => {
+  it('should keep an idle connection for the time that was announced with its last answer', async () => {
     socket.write(`GET /orders/s HTTP/1.1\r\n${HEAD}\r\n`);
     await waitEnd('0\r\n\r\n');
     text = '';
--- a/tests/relay/crashing-requests-search.spec.ts
+++ b/tests/relay/crashing-requests-search.spec.ts
@@ -98,10 +98,10 @@
   { minLength: STEPS, maxLength: STEPS },
 );
 
-describe('a request that ends servers, beside other troubles', () => {
+describe('a request that crashes servers, with other failures at the same time', () => {
   // Lost leaders, new entries and other crashes must not let the request continue or make other
   // requests suspect.
-  it('should reach no server once all had the time to know, and blame nobody else', async () => {
+  it('should reach no server once all entries had time to learn of it, and quarantine no other request', async () => {
     const property = fc.asyncProperty(drawTroubles, fc.boolean(), async (troubles, isEngine) => {
       const site = await RoutedSite.start({
         services: [{ name: 'rooms', maxConnections: 100, isEngine }],
--- a/tests/relay/crashing-requests.spec.ts
+++ b/tests/relay/crashing-requests.spec.ts
@@ -22,7 +22,7 @@
 /** Time in which suspects are written to the disks, in milliseconds. */
 const REMEMBER_MS = 700;
 
-describe('a request that ends every server that runs it', () => {
+describe('a request that crashes every server that runs it', () => {
   let site: RoutedSite | undefined;
 
   const start = async (
@@ -65,17 +65,17 @@
   };
 
   // The request is sent again to any entry and crashes one engine after another.
-  it('should reach few engines, and none once three have ended under it', async () => {
+  it('should reach few engines, and none once three have crashed', async () => {
     await judgeSends(await start(true));
   });
 
   // The same at servers that entries choose without the leader.
-  it('should reach few plain servers, and none once three have ended under it', async () => {
+  it('should reach few other servers, and none once three have crashed', async () => {
     await judgeSends(await start(false));
   });
 
   // Entries that choose servers by themselves must not treat each attempt as the first one.
-  it('should reach few engines while no leader is in reach', async () => {
+  it('should reach few engines while no leader is reachable', async () => {
     const started = await start(true, false, { kind: 'stream', isResumable: true });
     await Promise.all([0, 1].map((position) => started.control.stop(position)));
     await waitFor(() => started.control.findLeader() === undefined, 'nobody leads');
@@ -91,7 +91,7 @@
   });
 
   // Connections that are reset by running servers must not make a request suspect.
-  it('should suspect no request whose connections were reset at servers that live', async () => {
+  it('should not make a request suspect whose connections are reset by running servers', async () => {
     const started = await start(true);
     await sendInTurn(started, RESET_TEXT, 6);
     expect(await started.listSuspects()).toEqual([]);
@@ -99,12 +99,12 @@
   });
 
   // Servers restart with the same id, so that only the start time distinguishes the incarnations.
-  it('should count the starts of a server that keeps its id', async () => {
+  it('should count the incarnations of a server that keeps its id', async () => {
     await judgeSends(await start(true, true));
   });
 
   // A new leader and a new entry must know of the quarantined request.
-  it('should go on refusing it when the leader is lost, and at an entry that starts then', async () => {
+  it('should still be refused after a change of leaders, also at a new entry', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
     const before = started.fatalCount;
@@ -120,7 +120,7 @@
   });
 
   // The lost leader had counted single crashes, which must not be lost with it.
-  it('should add ends up over a change of leaders', async () => {
+  it('should have its crashes added up over a change of leaders', async () => {
     const started = await start(true);
     await started.send(0, FATAL_TEXT);
     await started.control.stop(await started.control.waitLeader());
@@ -131,7 +131,7 @@
   });
 
   // A power loss of all replicas must not clear the quarantine.
-  it('should still be refused when all control replicas have started again', async () => {
+  it('should still be refused after a restart of all control replicas', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
     await pause(REMEMBER_MS);
@@ -143,7 +143,7 @@
   });
 
   // The suspects on one disk must survive a leader whose own disk has lost them.
-  it('should still be refused where one replica alone remembers it after a loss of power', async () => {
+  it('should still be refused if only one replica has stored it after a power loss', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
     const [{ fingerprint = '' } = {}] = await started.listSuspects();
@@ -157,7 +157,7 @@
   });
 
   // All other requests that run on a crashing server are innocent.
-  it('should refuse nobody else, and serve them once it is refused', async () => {
+  it('should not make other requests refused, which are served once it is quarantined', async () => {
     const started = await start(true);
     const answers: SiteAnswer[] = [];
     const sendHonest = Array.from({ length: 4 * SENDS }, async (unused, position) => {
--- a/tests/relay/entry-mechanisms.spec.ts
+++ b/tests/relay/entry-mechanisms.spec.ts
@@ -22,7 +22,7 @@
 
 const answerAll: ServerScript = (socket) => sendAnswer(socket, 'r1', 'fine');
 
-describe('mechanisms that are switched at an entry', () => {
+describe('mechanisms that are switched off at an entry', () => {
   let rig: RelayRig;
 
   const start = async (
@@ -46,12 +46,12 @@
     if (!isResumed) setTimeout(() => socket.destroy(), 30);
   };
 
-  it.each([[[], true], [['resumption'], false]] as const)('should go on with a stream elsewhere, not without resumption: %j', async (off, isWhole) => {
+  it.each([[[], true], [['resumption'], false]] as const)('should resume a stream at another server unless resumption is off: %j', async (off, isWhole) => {
     await start(off, { kind: 'stream', isResumable: true, targetLatencyMs: 800 }, serveAndDie, serveAndDie);
     expect((await callShop()).includes('id: 2')).toBe(isWhole);
   });
 
-  it.each([[[], 2], [['silence'], 1]] as const)('should take a request away from a silent server, not without silence: %j', async (off, tries) => {
+  it.each([[[], 2], [['silence'], 1]] as const)('should move a request away from an unresponsive server unless silence is off: %j', async (off, tries) => {
     await start(off, {
       kind: 'idempotent', maxAttempts: 2, targetLatencyMs: 100, timeoutMs: 900,
     }, () => undefined, () => undefined);
@@ -59,7 +59,7 @@
     expect(rig.received).toHaveLength(tries);
   });
 
-  it.each([[[], 200], [['leaseWait'], 503]] as const)('should wait for a lease, not without that: %j', async (off, status) => {
+  it.each([[[], 200], [['leaseWait'], 503]] as const)('should wait for a lease unless leaseWait is off: %j', async (off, status) => {
     await start(off, {}, answerAll);
     const { site } = rig;
     let isServing = false;
@@ -73,7 +73,7 @@
     expect(await answer).toMatch(new RegExp(`^HTTP/1.1 ${status}`, 'u'));
   });
 
-  it.each([[[], true], [['leaderPlacing'], false]] as const)('should ask the leader for a slot, not without placing: %j', async (off, isPlaced) => {
+  it.each([[[], true], [['leaderPlacing'], false]] as const)('should ask the leader for a slot unless leaderPlacing is off: %j', async (off, isPlaced) => {
     await start(off, {}, answerAll);
     const placeClient = {
       place: () => Promise.resolve(PlaceReply.fromPartial({ workerId: 'w0' })), cancel: () => undefined,
--- a/tests/relay/event-framer.spec.ts
+++ b/tests/relay/event-framer.spec.ts
@@ -12,7 +12,7 @@
   return all.map((end, position) => bytes.subarray(ends[position - 1] ?? 0, end));
 };
 
-describe('framing a stream of events', () => {
+describe('EventFramer', () => {
   it('should pass all bytes on unchanged, however they are cut', () => {
     fc.assert(fc.property(fc.array(fc.nat()), (cuts) => {
       const bytes = Buffer.from(makeStream(1, 9));
@@ -25,7 +25,7 @@
 
   // A server crashes at any byte of the stream. The caller must get the whole events before that
   // from it and the others from the server that resumes the stream: none partial, missing or twice.
-  it('should let a stream go on elsewhere without a torn event', () => {
+  it('should let another server resume a stream without a partial event', () => {
     fc.assert(fc.property(fc.nat({ max: 400 }), (length) => {
       const framer = new EventFramer();
       const first = framer.push(Buffer.from(makeStream(1, 9)).subarray(0, length));
@@ -36,7 +36,7 @@
     }), { seed: 5 });
   });
 
-  it('should hand out what stands behind the last event when the answer has ended', () => {
+  it('should return the bytes after the last event when the answer has ended', () => {
     const framer = new EventFramer();
     framer.push(Buffer.from('id: 1\ndata: x\n\n: done'));
     expect(framer.takeRemainder().toString()).toBe(': done');
--- a/tests/relay/failed-answers.spec.ts
+++ b/tests/relay/failed-answers.spec.ts
@@ -12,7 +12,7 @@
 
 const fail: ServerScript = (socket) => sendAnswer(socket, 'r1', 'broken', 500);
 
-describe('a failure that a server answered', () => {
+describe('a failure status of a server', () => {
   let rig: RelayRig;
 
   const start = async (changes: Partial<Routing>, ...scripts: ServerScript[]): Promise<void> => {
@@ -22,7 +22,7 @@
   afterEach(() => rig.close());
 
   // The answer must not be discarded for a retry that is then not allowed.
-  it('should be passed on where the service has no repeats left', async () => {
+  it('should be passed on if the service has no retries left', async () => {
     await start({}, fail, fail);
     vi.spyOn(rig.site.retries, 'take').mockReturnValue(false);
     expect(await rig.send(REQUEST, 2_500)).toMatch(/^HTTP\/1.1 500 [^]*broken$/);
--- a/tests/relay/hostile-peers.spec.ts
+++ b/tests/relay/hostile-peers.spec.ts
@@ -146,7 +146,7 @@
   uncaught.push(error);
 };
 
-describe('an entry between peers that break every rule', () => {
+describe('an entry between peers that break the protocol', () => {
   let former: NodeJS.UncaughtExceptionListener[] = [];
 
   beforeEach(() => {
@@ -164,7 +164,7 @@
   });
 
   // Fault: an uncaught error crashed the entry, and all its callers lost their connections.
-  it('should go on, and serve the next request', async () => {
+  it('should keep running and serve the next request', async () => {
     await runSearchAsync(fc.asyncProperty(
       fc.array(answerPlan, { minLength: 8, maxLength: 8 }),
       fc.array(callPlan, { minLength: CALLERS, maxLength: CALLERS }),
--- a/tests/relay/leader-changes.spec.ts
+++ b/tests/relay/leader-changes.spec.ts
@@ -16,7 +16,7 @@
 const LOSS_MS = 800;
 const OTHER_LOSS_MS = 2_400;
 
-describe('requests while the leader of control is lost', () => {
+describe('requests while the control leader is lost', () => {
   let site: RoutedSite;
 
   const start = async (route: Partial<Route>): Promise<void> => {
@@ -49,7 +49,7 @@
     ['what may run once', { kind: 'nonIdempotent' }, 'harmless'],
     ['what may be repeated', { kind: 'idempotent' }, 'harmless'],
     ['streams', { kind: 'stream' }, STREAM_TEXT],
-  ] as const)('should answer each, whole or as not run: %s', async (name, route, body) => {
+  ] as const)('should be answered completely or refused as not run: %s', async (name, route, body) => {
     await start(route);
     const losses = Promise.all([stopLeader(LOSS_MS), stopLeader(OTHER_LOSS_MS)]);
     const answers = await sendAll(body);
--- a/tests/relay/leaving-servers.spec.ts
+++ b/tests/relay/leaving-servers.spec.ts
@@ -10,7 +10,7 @@
 import { callRig, serveAll, startRig } from '../fakes/sheddingCalls';
 import { SheddingServer } from '../fakes/sheddingServer';
 
-describe('a server that says in an answer that it leaves', () => {
+describe('a server that reports in an answer that it is leaving', () => {
   let rig: RelayRig | undefined;
 
   const start = async (
@@ -57,14 +57,14 @@
   });
 
   // A leaving server must not be used even if no other server is left.
-  it('should get no request, nor the retry of one, where it is the only one', async () => {
+  it('should get no requests or retries if it is the only server', async () => {
     const leaving = new SheddingServer(() => ({ status: 503, isLeaving: true }));
     const started = await start({}, leaving.script);
     expect(await callInTurn(started, 3)).toEqual([503, 503, 503]);
     expect(leaving.arrivals).toHaveLength(1);
   });
 
-  it('should end in peace what it has, streams that began before among it', async () => {
+  it('should complete the requests that it has, including streams', async () => {
     const leaving = new SheddingServer((count) => (
       count === 1 ? { delayMs: 300 } : { isLeaving: true }));
     const other = new SheddingServer(() => ({ delayMs: 50 }));
@@ -77,7 +77,7 @@
   });
 
   // A broken stream must not be resumed at a leaving server.
-  it('should not be where a stream goes on that another server broke off', async () => {
+  it('should not get a stream that another server broke off', async () => {
     const leaving = new SheddingServer(() => ({ status: 503, isLeaving: true }));
     const event = 'id: 1\ndata: x\n\n';
     const breakOff: ServerScript = (socket) => {
@@ -89,7 +89,7 @@
     expect(leaving.arrivals).toHaveLength(1);
   });
 
-  it('should get requests again at its next start', async () => {
+  it('should get requests again after a restart', async () => {
     const leaving = new SheddingServer((count) => ({ isLeaving: count === 1 }));
     const started = await start({}, leaving.script);
     expect(await callInTurn(started, 2)).toEqual([200, 503]);
@@ -97,7 +97,7 @@
     expect(await call(started)).toBe(200);
   });
 
-  it('should be told of once for each start, in the log and the counts', async () => {
+  it('should be logged and counted once for each incarnation', async () => {
     const leaving = new SheddingServer(() => ({ isLeaving: true, delayMs: 30 }));
     const started = await start({}, leaving.script);
     await Promise.all([call(started), call(started), call(started)]);
--- a/tests/relay/odd-answers.spec.ts
+++ b/tests/relay/odd-answers.spec.ts
@@ -28,7 +28,7 @@
   ['bytes of another protocol', 'SSH-2.0-x\r\n'],
 ] as const;
 
-describe('an answer of a server that is unusual', () => {
+describe('an unusual answer of a server', () => {
   let rig: RelayRig;
 
   const callShop = async (kind: 'stream' | 'idempotent', text: string): Promise<string> => {
--- a/tests/relay/open-requests.spec.ts
+++ b/tests/relay/open-requests.spec.ts
@@ -47,7 +47,7 @@
 
   // Fault: a caller disconnected while its request waited for a lease. The entry then waited half a
   // minute for the body, and a shutdown waited for the request.
-  it('should hold none whose caller left while it waited for a lease', async () => {
+  it('should not include a request whose caller disconnected while it waited for a lease', async () => {
     vi.spyOn(rig.site, 'isServing', 'get').mockReturnValue(false);
     const socket = await openConnection(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 1\r\n\r\nx`);
     await pause(50);
@@ -58,7 +58,7 @@
     await waitNone();
   });
 
-  it('should hold none whose caller left in the middle of its body', async () => {
+  it('should not include a request whose caller disconnected in the middle of its body', async () => {
     const socket = await openConnection(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 9\r\n\r\nx`);
     await pause(50);
     socket.destroy();
@@ -66,7 +66,7 @@
   });
 
   // Several pipelined requests whose caller disconnects while the first one is served.
-  it('should hold none of several whose caller left', async () => {
+  it('should include none of several requests whose caller disconnected', async () => {
     const socket = await openConnection(`GET /orders/7 HTTP/1.1\r\n${HEAD}\r\n`.repeat(5));
     socket.destroy();
     await waitNone();
@@ -91,7 +91,7 @@
     ['a trace', `TRACE /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
     ['a head only', `HEAD /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
     ['options of the server', `OPTIONS * HTTP/1.1\r\n${HEAD}\r\n`],
-  ])('should answer each, whatever its head: %s', async (name, text) => {
+  ])('should all be answered, whatever their heads: %s', async (name, text) => {
     const answer = await rig.send(text, 200);
     expect(answer).toMatch(/^HTTP\/1.1 \d{3} /);
     await waitNone();
@@ -99,14 +99,14 @@
   });
 
   // Fault: a request with two hosts cannot be written, and each server counted as unreachable.
-  it('should refuse two hosts, and blame no server for them', async () => {
+  it('should not include a request with two hosts, which counts against no server', async () => {
     const answer = await rig.send(`GET /orders/7 HTTP/1.1\r\n${HEAD}Host: b.example\r\n\r\n`);
     expect(answer).toMatch(/^HTTP\/1.1 400 /);
     expect(rig.site.workers.byId.get('w0')).toMatchObject({ suspendedUntil: 0, failureShare: 0 });
   });
 });
 
-describe('a connection that is kept', () => {
+describe('a connection that stays open', () => {
   // Fault: each answer that was not written at once left a listener on its connection.
   it('should have no listener left once its answer is written', async () => {
     const open = new OpenRequests(new RelayMetrics());
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -62,12 +62,12 @@
 
 const findDeadline = () => systemClock.now() + 10_000;
 
-describe('asking the leader for places', () => {
+describe('PlaceClient', () => {
   /*
    * Fault: after a restart of the whole site, the new leader received a hundred waiting requests at
    * once, each as a separate call, and needed longer for them than the timeout of an entry.
    */
-  it('should ask for requests of one moment in one message, and give each its own answer', async () => {
+  it('should send requests of the same moment in one message and return each its own reply', async () => {
     const leader = new ScriptedLeader(grantAll);
     const client = makeClient(() => leader);
     const ids = Array.from({ length: 20 }, (unused, count) => `p${count}`);
@@ -80,7 +80,7 @@
    * Fault: in a burst, each decision was followed by a call that repeated all waiting requests. The
    * leader was overloaded and answered late, and entries chose engines that were full.
    */
-  it('should ask once for what waits, however many others are decided meanwhile', async () => {
+  it('should send a waiting request once, however many others are decided meanwhile', async () => {
     const leader = new ScriptedLeader(({ number, requests }, self) => {
       self.tell(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
     });
@@ -94,7 +94,7 @@
     expect(leader.asked.flat().filter((id) => id === 'b')).toHaveLength(1);
   });
 
-  it('should leave the choice to the entry when the leader does not answer', async () => {
+  it('should let the entry choose when the leader does not answer', async () => {
     const leader = new ScriptedLeader(() => undefined);
     const client = makeClient(() => leader);
     const from = systemClock.now();
@@ -106,7 +106,7 @@
   });
 
   // The leader acknowledged the requests and froze: without a timeout the entry would wait for it.
-  it('should leave the choice to the entry when a leader goes silent while requests wait', async () => {
+  it('should let the entry choose when the leader stops answering while requests wait', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
     const client = makeClient(() => leader);
     expect(await client.place(makeAsk('a'), findDeadline())).toBeUndefined();
@@ -116,7 +116,7 @@
    * Fault: the leader of a site with 79 entries spent half of its processor time on their messages.
    * Most of them reported the pace of running streams, four times a second for each entry.
    */
-  it('should tell the pace of streams less often, the more entries tell the same leader', async () => {
+  it('should report the pace of streams less often, the more entries use the same leader', async () => {
     const countMessages = async (entries: number): Promise<number> => {
       const leader = new ScriptedLeader(grantAll);
       const client = makeClient(() => leader, entries);
@@ -141,7 +141,7 @@
     expect(many).toBeLessThanOrEqual(3);
   });
 
-  it('should wait for as long as the leader shows that it is there', async () => {
+  it('should wait as long as the leader sends messages', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
     const client = makeClient(() => leader);
     const waiting = client.place(makeAsk('a'), findDeadline());
@@ -155,7 +155,7 @@
   });
 
   // The leader sends decisions for unknown requests, wrong acknowledgements and duplicates.
-  it('should bear decisions that answer nothing, and still hear its own', async () => {
+  it('should ignore decisions that match no request and still receive its own', async () => {
     const leader = new ScriptedLeader(({ number }, told) => {
       told.tell(number + 7, ['unknown', '', '__proto__']);
       told.tell(-1);
@@ -173,7 +173,7 @@
    * Fault: the leader's reply was in flight when the entry chose a server by itself. The slot
    * stayed taken until the request's deadline, and other requests were refused because of it.
    */
-  it('should give a place back that comes after it chose by itself', async () => {
+  it('should release a slot that is granted after the request was cancelled', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
     const client = makeClient(() => leader);
     const asked = client.place(makeAsk('a'), findDeadline());
@@ -190,7 +190,7 @@
    * Fault: after a change of leaders, waiting requests were not sent to the new leader, and slots
    * in use counted as free there.
    */
-  it('should ask the next leader for what waits, and tell it what is held', async () => {
+  it('should send waiting requests and the slots in use to the next leader', async () => {
     const first = new ScriptedLeader(({ number, requests }, self) => {
       self.tell(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
     });
@@ -206,7 +206,7 @@
     expect(second.heard[0]).toMatchObject({ entryId: 'e1', held: ['a'] });
   });
 
-  it('should choose by itself at once when the leader ends the stream', async () => {
+  it('should let the entry choose at once when the leader ends the stream', async () => {
     const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
     const client = makeClient(() => leader);
     const asked = client.place(makeAsk('a'), findDeadline());
@@ -216,7 +216,7 @@
   });
 
   // A crash that only the lost leader knew of must be reported to the next one.
-  it('should tell each leader once which servers ended, but not of a request served since', async () => {
+  it('should report crashes once to each leader, except those of a request that was served later', async () => {
     const leaders = [new ScriptedLeader(grantAll), new ScriptedLeader(grantAll)];
     let position = 0;
     const client = makeClient(() => leaders[position] as ScriptedLeader);
--- a/tests/relay/relay-shutdown.spec.ts
+++ b/tests/relay/relay-shutdown.spec.ts
@@ -19,7 +19,7 @@
 
 // Fault: a request that was accepted in the same turn of the event loop in which the previous one
 // ended was neither awaited nor counted as new. It was refused with most of the grace period left.
-it('should wait for a request that comes as the entry becomes idle', async () => {
+it('should wait for a request that arrives as the entry becomes idle', async () => {
   const openRequests = new OpenRequests({ open: { inc: vi.fn(), dec: vi.fn() } as never });
   const request = { run: () => pause(RUN_MS), endWithEntry: vi.fn(), breakOff: vi.fn() };
   const waitIdle = openRequests.waitIdle.bind(openRequests);
--- a/tests/relay/request-fingerprint.spec.ts
+++ b/tests/relay/request-fingerprint.spec.ts
@@ -49,7 +49,7 @@
   });
 
   // Without the fingerprint, logs cannot show whether the same request crashed several servers.
-  it('should stand in the line of each attempt that broke off, whatever the id of the request', () => {
+  it('should be logged with each broken attempt, whatever the id of the request', () => {
     const [first, second] = collectFingerprints(['r1', 'r2']);
     expect(first).toBe(computeFingerprint(content));
     expect(second).toBe(first);
--- a/tests/relay/resting-servers-site.spec.ts
+++ b/tests/relay/resting-servers-site.spec.ts
@@ -23,7 +23,7 @@
 
 const serveAll = (): ShedAnswer => ({ delayMs: 30 });
 
-describe('engines of a whole site that ask for rest or leave', () => {
+describe('engines of a site that ask for a backoff or leave', () => {
   let site: RoutedSite | undefined;
 
   const start = async (...servers: readonly SheddingServer[]): Promise<RoutedSite> => {
@@ -47,7 +47,7 @@
   });
 
   // The leader must not grant slots to entries that the engine asked for a backoff.
-  it('should get one request of each entry, until the rest is over', async () => {
+  it('should get one request of each entry until the backoff ends', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS);
     const started = await start(resting, new SheddingServer(serveAll));
     const answers = await sendInTurn(started);
@@ -56,7 +56,7 @@
   });
 
   // The leader may not know yet that an engine is leaving.
-  it('should get one request of each entry that hears of its leaving', async () => {
+  it('should get one request of each entry once they are leaving', async () => {
     const leaving = new SheddingServer(() => ({ isLeaving: true }), ON_ITS_WAY_MS);
     const started = await start(leaving, new SheddingServer(serveAll));
     const answers = await sendInTurn(started);
@@ -64,7 +64,7 @@
     expect(answers.filter(({ code }) => REFUSED_CODES.includes(code))).toEqual([]);
   });
 
-  it('should be left alone where all rest, with a time to come back for callers', async () => {
+  it('should get few requests while all are backing off, with a Retry-After for callers', async () => {
     const servers = [0, 1].map(() => (
       new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS)));
     const answers = await sendInTurn(await start(...servers));
--- a/tests/relay/resting-servers.spec.ts
+++ b/tests/relay/resting-servers.spec.ts
@@ -17,7 +17,7 @@
 const MOST_IN_REST = 2;
 const GAP_MS = 15;
 
-describe('a server that asked for rest', () => {
+describe('a server that asked for a backoff', () => {
   let rig: RelayRig | undefined;
 
   const start = async (
@@ -44,7 +44,7 @@
   });
 
   // The entry's own suspension is shorter than the backoff and must not end it.
-  it('should get nothing until its rest is over while another server takes requests', async () => {
+  it('should get no request until its backoff ends while another server accepts requests', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: 1_800 }));
     const other = new SheddingServer(serveAll);
     const started = await startServers(resting, other);
@@ -54,7 +54,7 @@
   });
 
   // The answer to an earlier request must not end the backoff.
-  it('should be left alone although it answers a request that it had taken before', async () => {
+  it('should get no request although it answers one that it had accepted before', async () => {
     const resting = new SheddingServer((count) => (
       count === 1 ? { delayMs: 120 } : { status: 503, restMs: 1_500 }));
     const started = await startServers(resting, new SheddingServer(() => ({ delayMs: 200 })));
@@ -64,7 +64,7 @@
   });
 
   // If all servers are backing off, neither requests nor retries may use them as a last resort.
-  it('should get two requests within its rest at most where all servers of a service rest', async () => {
+  it('should get at most two requests within its backoff if all servers of a service are backing off', async () => {
     const servers = [1_200, 1_500].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
     const answers = await callFor(await startServers(...servers), 1_400);
@@ -73,7 +73,7 @@
   });
 
   // Callers must neither wait without a chance of an answer nor retry too early.
-  it('should let callers be refused at once with the shortest rest where all rest', async () => {
+  it('should be reported to callers at once, with the shortest backoff, if all are backing off', async () => {
     const servers = [2_000, 3_000].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
     const started = await startServers(...servers);
@@ -88,7 +88,7 @@
   });
 
   // If each server refuses some requests, the entry's backoffs must not cause an outage.
-  it('should keep no service from being served whose servers shed by lot', async () => {
+  it('should not cause an outage if servers refuse requests at random', async () => {
     const servers = [0, 1, 2].map((offset) => new SheddingServer((count) => (
       (7 * count + 3 * offset) % 10 < 3 ? { status: 503, restMs: 600 } : {})));
     const answers = await callFor(await startServers(...servers), 3_000, 250);
@@ -98,7 +98,7 @@
   });
 
   // A broken stream must not be resumed at a server that is backing off.
-  it('should not get the rest of a stream that another server broke off', async () => {
+  it('should not get a stream that another server broke off', async () => {
     const resting = new SheddingServer(() => ({ status: 503, restMs: 1_500 }));
     const event = 'id: 1\ndata: x\n\n';
     const breakOff: ServerScript = (socket) => {
@@ -111,7 +111,7 @@
   });
 
   // A failure of the server may also contain a backoff.
-  it('should be left alone also where its answer does not say that it did not run the request', async () => {
+  it('should get no request even if its answer does not report the request as not run', async () => {
     const resting = { arrivals: 0 };
     const failOnce: ServerScript = (socket) => {
       resting.arrivals += 1;
@@ -124,7 +124,7 @@
   });
 
   // No order of answers and backoffs may let a third request through.
-  it('should get two requests within any rest at most whatever servers answer', async () => {
+  it('should get at most two requests within any backoff, whatever the servers answer', async () => {
     const answer = fc.record({
       status: fc.constantFrom(200, 200, 200, 500, 503, 503),
       restMs: fc.constantFrom(0, 200, 500, 900, 1_500),
--- a/tests/relay/routed-request.spec.ts
+++ b/tests/relay/routed-request.spec.ts
@@ -44,7 +44,7 @@
     rig = undefined;
   });
 
-  it('should pass method, path, body and headers on unchanged, less the key', async () => {
+  it('should forward method, path, body and headers unchanged, without the key', async () => {
     const { received } = await start({}, answerAll).then(async (started) => {
       await callShop('/orders/7?a=%20b', { method: 'PUT', body: 'one two' });
       return started;
@@ -58,7 +58,7 @@
 
   // A server crashes in the middle of an answer that is not a stream. The retry's answer must not
   // be appended to the first half of the first answer.
-  it('should answer with one whole answer when a server breaks off', async () => {
+  it('should send one complete answer when a server breaks off', async () => {
     const breakOff: ServerScript = (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\ncontent-length: 9\r\n\r\nhalf');
       setTimeout(() => socket.destroy(), 20);
@@ -72,14 +72,14 @@
   });
 
   // The server may have run the request before its connection broke: a retry could run it twice.
-  it('should never send twice what may run once, when its answer is lost', async () => {
+  it('should never resend a request that may run only once when its answer is lost', async () => {
     const dropAll: ServerScript = (socket) => socket.destroy();
     const started = await start({ kind: 'nonIdempotent' }, dropAll, dropAll);
     expect((await callShop('/orders/7', { method: 'POST', body: 'x' })).status).toBe(502);
     expect(started.received).toHaveLength(1);
   });
 
-  it('should send what may run once to another server when the first says that it did not run', async () => {
+  it('should send a request that may run only once to another server if the first one did not run it', async () => {
     const refuse: ServerScript = (socket) => sendAnswer(socket, 'r1', '', 503, 'x-not-run: 1\r\n');
     const refuseFirst: ServerScript = (socket, request, count) => (
       rig?.received.length === 1 ? refuse : answerAll)(socket, request, count);
@@ -89,7 +89,7 @@
   });
 
   // The late answer of an earlier request arrives on the connection of this request.
-  it('should not take the answer of another request for its own', async () => {
+  it('should not use the answer of another request', async () => {
     const sendOther: ServerScript = (socket) => sendAnswer(socket, 'other', 'not yours');
     const started = await start({ kind: 'nonIdempotent' }, sendOther);
     const answer = await callShop();
@@ -98,7 +98,7 @@
     expect(started.received).toHaveLength(1);
   });
 
-  it('should repeat a failure of a route that may be repeated, and pass the last one on', async () => {
+  it('should retry a failure on a route that allows repeats, and pass the last failure on', async () => {
     const started = await start({ kind: 'idempotent', maxAttempts: 2 }, failAll, failAll, failAll);
     const answer = await callShop();
     expect([answer.status, await answer.text()]).toEqual([500, 'broken']);
@@ -110,7 +110,7 @@
    * again, so that it ran twice. Its first attempt had reached a server that broke off, and the
    * refusal described only the second attempt, for which there was no server.
    */
-  it('should not say of a request that it has not run when its first try may have', async () => {
+  it('should not report that a request has not run if its first attempt may have run it', async () => {
     const breakOff: ServerScript = (socket) => socket.destroy();
     const started = await start({ kind: 'idempotent', maxAttempts: 2 }, breakOff);
     const answer = await callShop();
@@ -118,7 +118,7 @@
     expect([answer.status, answer.headers.get('retry-after')]).toEqual([502, null]);
   });
 
-  it('should pass a failure on at once where the route may not be repeated', async () => {
+  it('should pass a failure on at once if the route does not allow repeats', async () => {
     const started = await start({ kind: 'nonIdempotent', maxAttempts: 3 }, failAll, failAll);
     expect((await callShop()).status).toBe(500);
     expect(started.received).toHaveLength(1);
@@ -126,7 +126,7 @@
 
   // The server of a resumable stream crashes in the middle of an event. The caller gets each event
   // once and complete, from two servers, in one answer.
-  it('should go on with a stream at another server after its last whole event', async () => {
+  it('should resume a stream at another server after its last whole event', async () => {
     const serve: ServerScript = (socket, request) => {
       const last = Number(/x-last: (\d+)/.exec(request)?.[1] ?? 0);
       if (last > 0) {
@@ -144,7 +144,7 @@
 
   // A server crashes in the middle of an answer without a length, which ends with its connection.
   // If the reset counted as the end, half an answer would look complete.
-  it('should not take a reset for the end of an answer without a length', async () => {
+  it('should not treat a reset as the end of an answer without a length', async () => {
     const resetAll: ServerScript = (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nx-id: r1\r\nconnection: close\r\n\r\nhalf of it');
       setTimeout(() => socket.resetAndDestroy(), 30);
@@ -157,7 +157,7 @@
 
   // A server that crashes in the middle of an answer without a length may close its connection
   // normally. With chunked encoding added, the first half would look complete to the caller.
-  it('should pass an answer without a length on without one, ending with the connection', async () => {
+  it('should pass an answer without a length on without one and close the connection', async () => {
     const endAll: ServerScript = (socket) => {
       socket.end('HTTP/1.1 200 OK\r\nx-id: r1\r\nconnection: close\r\n\r\nall of it');
     };
@@ -169,7 +169,7 @@
     expect(head).toMatch(/connection: close/i);
   });
 
-  it('should break a stream off that may not be resumed, so that it does not look whole', async () => {
+  it('should abort a stream that may not be resumed, so that it does not look complete', async () => {
     const serve: ServerScript = (socket) => {
       socket.write(`${HEAD}${writeChunk(makeEvents(1, 5))}`);
       setTimeout(() => socket.destroy(), 30);
@@ -181,7 +181,7 @@
     expect(started.received).toHaveLength(1);
   });
 
-  it('should stop the work of a server whose caller has gone', async () => {
+  it('should cancel the request at its server when the caller disconnects', async () => {
     const keepSilent: ServerScript = () => undefined;
     const started = await start({ kind: 'nonIdempotent' }, keepSilent);
     await started.send(`GET /orders/7 HTTP/1.1\r\n${HOST}\r\n`, 100);
@@ -190,14 +190,14 @@
     expect(started.findServer(0).closed).toBe(1);
   });
 
-  it('should give the final answer at the timeout of the route', async () => {
+  it('should answer with an error at the timeout of the route', async () => {
     await start({ kind: 'nonIdempotent', timeoutMs: 200 }, () => undefined);
     const from = performance.now();
     expect((await callShop()).status).toBe(504);
     expect(performance.now() - from).toBeLessThan(1_500);
   });
 
-  it('should take an idempotent request away from a silent server', async () => {
+  it('should move an idempotent request away from an unresponsive server', async () => {
     const answerSecond: ServerScript = (socket, request, count) => {
       if ((rig?.received.length ?? 0) > 1) answerAll(socket, request, count);
     };
@@ -206,7 +206,7 @@
     expect(started.received).toHaveLength(2);
   });
 
-  it('should refuse without a lease, with a time to come back, and say nothing of routes', async () => {
+  it('should refuse without a lease, with a Retry-After, and not reveal routes', async () => {
     const started = await start({}, answerAll);
     Object.assign(started.site, { leaseUntil: -1 });
     const answer = await callShop('/nothing/here');
@@ -219,7 +219,7 @@
     ['/nothing', 'x-key: k1\r\n', 404],
     ['/orders/1', 'x-key: wrong\r\n', 401],
     ['/orders/1', '', 401],
-  ])('should answer %s with key "%s" by %i', async (path, key, status) => {
+  ])('should answer path %s and headers "%s" with status %i', async (path, key, status) => {
     const started = await start({}, answerAll);
     const text = await started.send(`GET ${path} HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\n${key}\r\n`);
     expect(text).toMatch(new RegExp(`^HTTP/1.1 ${status}`));
@@ -227,7 +227,7 @@
   });
 
   // Request smuggling: two contradicting lengths hide a second request in the body of the first.
-  it('should refuse a request with two ways of telling its length', async () => {
+  it('should refuse a request with both a content length and chunked encoding', async () => {
     const started = await start({}, answerAll);
     const inner = 'GET /orders/9 HTTP/1.1\r\nHost: shop.example\r\nx-id: r9\r\n\r\n';
     const text = await started.send(`POST /orders/7 HTTP/1.1\r\n${HOST}content-length: ${inner.length}\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n${inner}`);
@@ -235,7 +235,7 @@
     expect(started.received.join('')).not.toMatch(/r9/);
   });
 
-  it('should refuse a body beyond the limit and keep serving', async () => {
+  it('should refuse a body that exceeds the limit and continue serving', async () => {
     rig = await RelayRig.start(makeRouting({
       limits: {
         headerBytes: 16_384, bodyBytes: 10, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000,
@@ -247,7 +247,7 @@
 
   // A server sends a second answer directly after a complete one. The next request on that
   // connection would get it.
-  it('should never reuse a connection with bytes behind a whole answer', async () => {
+  it('should never reuse a connection with bytes after a complete answer', async () => {
     const sendTwice: ServerScript = (socket, request) => {
       const id = /x-id: (\w+)/.exec(request)?.[1] ?? '';
       sendAnswer(socket, id, `for ${id}`);
--- a/tests/relay/site-watch.spec.ts
+++ b/tests/relay/site-watch.spec.ts
@@ -14,7 +14,7 @@
 import { findFreeAddress } from '../fakes/freeAddress';
 import { makeRouting } from '../fakes/routings';
 
-describe('the search of an entry for the leader of control', () => {
+describe('the search of an entry for the control leader', () => {
   let replicas: FakeReplicas | undefined;
   let watch: SiteWatch | undefined;
 
@@ -58,7 +58,7 @@
    * four to five times a second. The 800 requests a second used up the processor time of each
    * replica, so that the election of the next leader failed repeatedly.
    */
-  it('should ask few replicas, and seldom, while they know no leader either', async () => {
+  it('should ask few replicas, and rarely, while they know no leader', async () => {
     const asked = await listen();
     start(asked.addresses);
     await pause(2_000);
@@ -66,7 +66,7 @@
     expect(asked.questions).toBeLessThanOrEqual(9);
   });
 
-  it('should hear of a leader at once from those that it asks, and be served by it', async () => {
+  it('should learn of a leader at once from the asked replicas and get its lease there', async () => {
     const asked = await listen();
     const site = start(asked.addresses);
     await pause(500);
@@ -77,7 +77,7 @@
   });
 
   // Fault: an entry crashed or stopped its watch because a document could not be read.
-  it('should go on asking after a document whose reading fails, and log it', async () => {
+  it('should continue after a document that cannot be read, and log the failure', async () => {
     const asked = await listen();
     const error = vi.fn<Logger['error']>();
     let left = 5;
@@ -96,7 +96,7 @@
    * Fault: after a power loss of the whole site, an entry that started before the replicas opened a
    * new connection to each of them every 40 ms.
    */
-  it('should try replicas that are down less and less often', async () => {
+  it('should try unreachable replicas with increasing delays', async () => {
     const calls = vi.spyOn(RpcLink.prototype, 'call');
     const addresses = await Promise.all(Array.from({ length: 3 }, findFreeAddress));
     start(addresses);
@@ -110,7 +110,7 @@
    * the leader without any caller. The more entries there are, the longer each lets the leader hold
    * its watch request.
    */
-  it('should let its question be held longer, the more entries ask the same leader', async () => {
+  it('should let its watch request be held longer, the more entries use the same leader', async () => {
     const asked = await listen();
     asked.lead(0);
     const site = start(asked.addresses);
@@ -127,7 +127,7 @@
    * Fault: an idle entry woke up 33 times a second, because both ends of its five connections sent
    * a ping every second. Four of them are unused, and the fifth has a timeout of its own.
    */
-  it('should exchange nothing but its questions while it stands by', async () => {
+  it('should exchange only watch requests while it is idle', async () => {
     const asked = await listen();
     asked.lead(0);
     const site = start(asked.addresses);
--- a/tests/relay/slow-engines.spec.ts
+++ b/tests/relay/slow-engines.spec.ts
@@ -13,14 +13,14 @@
 const BURST = 14;
 const GAP_MS = 1_000;
 
-describe('engines that are slow to begin, all of them', () => {
+describe('engines that all start their answers late', () => {
   let site: RoutedSite;
 
   afterEach(() => site.close());
 
   // Fault: in a burst all engines answered late, and requests were aborted at each of them without
   // finding another one.
-  it.each([true, false])('should answer what they took, placed by the leader: %s', async (isEngine) => {
+  it.each([true, false])('should answer the requests that they accepted, placed by the leader: %s', async (isEngine) => {
     site = await RoutedSite.start({
       services: [{ name: 'rooms', maxConnections: 100, isEngine }],
       routes: [makeRoute({ kind: 'idempotent', timeoutMs: 4_000, targetLatencyMs: 200 })],
--- a/tests/relay/slow-servers.spec.ts
+++ b/tests/relay/slow-servers.spec.ts
@@ -26,7 +26,7 @@
   services: [{ name: 'rooms', maxConnections: 0, isEngine: true }],
 };
 
-describe('a request at a server that is slow to begin its answer', () => {
+describe('a request at a server that starts its answer late', () => {
   let rig: RelayRig;
 
   const start = async (
@@ -53,13 +53,13 @@
   });
 
   // Fault: the request was aborted at the only server of its service, which was running it.
-  it('should wait for it where no other server is there', async () => {
+  it('should wait for the server if there is no other one', async () => {
     await start({}, answerLate);
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
   });
 
   // Fault: the request was aborted at the server that was running it, though no retry was allowed.
-  it('should wait for it where the service has no repeats left', async () => {
+  it('should wait for the server if the service has no retries left', async () => {
     await start({}, answerLate, answerLate);
     vi.spyOn(rig.site.retries, 'take').mockReturnValue(false);
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
@@ -68,7 +68,7 @@
 
   // Fault: the request was aborted at the engine that was running it, before the leader refused a
   // slot for the retry.
-  it('should wait for it where the leader refuses another place', async () => {
+  it('should wait for the server if the leader refuses another slot', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => Promise.resolve(PlaceReply.fromPartial({
       placeId, code: resultCodes.noSlotInTime.number, message: 'no slot in time', retryAfterMs: 300,
@@ -77,7 +77,7 @@
   });
 
   // Fault: the request was aborted at the engine that was running it while its retry waited.
-  it('should take its answer when it comes before another place', async () => {
+  it('should use its answer if it arrives before another slot is granted', async () => {
     await start(engines, answerLate, answerAtOnce);
     const report = vi.spyOn(rig.placeClient, 'report');
     placeFirst(async ({ placeId }) => {
@@ -91,7 +91,7 @@
 
   // A server that has started its answer must not count as unresponsive because the entry still
   // buffers that answer.
-  it('should stay where a plain answer has begun', async () => {
+  it('should stay at the server if an answer that is not a stream has started', async () => {
     await start({}, (socket) => {
       socket.write('HTTP/1.1 200 X\r\nx-id: r1\r\ncontent-length: 4\r\n\r\nla');
       setTimeout(() => socket.write('te'), SLOW_MS);
@@ -102,7 +102,7 @@
 
   // Fault: the request was aborted at the server that was running it, though the entry shuts down
   // too early for a retry.
-  it('should wait for it where the entry leaves', async () => {
+  it('should wait for the server if the entry shuts down', async () => {
     await start({}, answerLate, answerLate);
     const asked = callShop();
     await pause(100);
@@ -113,7 +113,7 @@
 
   // Fault: the request was aborted at the engine that was running it, though it had become suspect
   // while its retry waited for a slot.
-  it('should wait for it where it may not be repeated by the time that it has a place', async () => {
+  it('should wait for the server if it may no longer be repeated once it gets another slot', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => {
       vi.spyOn(RequestGuard.prototype, 'isFree', 'get').mockReturnValue(false);
@@ -122,7 +122,7 @@
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
   });
 
-  it('should go to another server as soon as it has a place there', async () => {
+  it('should go to another server as soon as it gets a slot there', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => Promise.resolve(PlaceReply.fromPartial({ placeId, workerId: 'w1' })));
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*other$/);
--- a/tests/relay/stopping-connections.spec.ts
+++ b/tests/relay/stopping-connections.spec.ts
@@ -29,10 +29,10 @@
 
 afterEach(() => site.close());
 
-describe('a kept connection of an entry that leaves', () => {
+describe('an open connection to an entry that shuts down', () => {
   // A request arrives while the process is blocked: the entry must read input before it decides
   // that no more requests arrive.
-  it('should answer a request that was written while the entry was held up', async () => {
+  it('should answer a request that was written while the entry was busy', async () => {
     await start();
     const kept = await site.open();
     const lastsMs = LOCATE_MS + 2 * REACH_MS;
@@ -54,7 +54,7 @@
   it.each<[string, number]>([
     ['before the port is closed', LOCATE_MS / 2],
     ['after the port is closed', LOCATE_MS + REACH_MS],
-  ])('should answer the next request behind a stream that ends %s', async (name, lastsMs) => {
+  ])('should answer the next request after a stream that ends %s', async (name, lastsMs) => {
     await start();
     const kept = await site.open();
     const streamed = askFor('stream', { 'x-form': 'stream', 'x-lasts': lastsMs + REACH_MS }, kept);
@@ -100,7 +100,7 @@
   });
 
   // A second signal of an operator or supervisor must not end open requests early.
-  it('should end as the first signal says when a second one comes', async () => {
+  it('should end as after the first signal when a second one arrives', async () => {
     await start();
     const asked = askFor('long', { 'x-lasts': 2 * LOCATE_MS });
     await pause(REACH_MS);
--- a/tests/relay/stopping-entry-search.spec.ts
+++ b/tests/relay/stopping-entry-search.spec.ts
@@ -45,9 +45,9 @@
 
 const drawPlans = fc.noShrink(fc.array(drawPlan, { minLength: SCHEDULES, maxLength: SCHEDULES }));
 
-describe('entries that stop under requests of every kind', () => {
+describe('entries that shut down during requests of every kind', () => {
   // A planned shutdown must not cut requests off, refuse them with a wrong state or run them twice.
-  it('should answer whole, or refuse as not run, all that they read whole', async () => {
+  it('should answer completely, or refuse as not run, every request that they read completely', async () => {
     const property = fc.asyncProperty(drawPlans, async (plans) => {
       const faults = await Promise.all(plans.map((plan) => StoppingRun.perform(plan)));
       expect(faults.flat()).toEqual([]);
--- a/tests/relay/stopping-entry.spec.ts
+++ b/tests/relay/stopping-entry.spec.ts
@@ -37,14 +37,14 @@
   await site.close();
 });
 
-describe('a request that comes while an entry leaves', () => {
+describe('a request that arrives while an entry shuts down', () => {
   // An answer that cannot be completed before the entry ends must not be started.
   it.each<[StoppingRoute, Headers]>([
     ['long', {}],
     ['longOnce', {}],
     ['stream', { 'x-form': 'stream' }],
     ['resumable', { 'x-form': 'stream' }],
-  ])('should be refused as not run on a route whose answers outlast the entry: %s', async (route, form) => {
+  ])('should be refused as not run on a route whose answers take longer than the shutdown: %s', async (route, form) => {
     await start();
     const kept = await site.open();
     const headers = { ...form, 'x-lasts': LONG_MS };
@@ -61,9 +61,9 @@
 
   // Default estimates of a server's pace must not count as measurements.
   it.each<[string, Headers]>([
-    ['which is not told', {}],
-    ['which is told', { [TOKENS_HEADER]: LONG_EVENTS }],
-  ])('should be refused as not run where nothing is known of how long it takes but its length, %s', async (name, told) => {
+    ['that is not sent', {}],
+    ['that is sent', { [TOKENS_HEADER]: LONG_EVENTS }],
+  ])('should be refused as not run if no pace was measured, with a length %s', async (name, told) => {
     await start();
     const kept = await site.open();
     checkStatus(await askFor('brief', {}, kept), 200);
@@ -75,7 +75,7 @@
   });
 
   // Callers are still sent to the entry for a while, so it must not refuse every request.
-  it.each<StoppingRoute>(['brief', 'briefOnce'])('should be served where its answer ends in time: %s', async (route) => {
+  it.each<StoppingRoute>(['brief', 'briefOnce'])('should be served if its answer can end in time: %s', async (route) => {
     await start();
     const kept = await site.open();
     checkStatus(await askFor(route, {}, kept), 200);
@@ -90,14 +90,14 @@
   });
 });
 
-describe('requests that are open when the grace is over', () => {
+describe('requests that are open at the end of the grace period', () => {
   // A caller whose connection is closed without an answer cannot know whether its request ran.
   it.each<[string, StoppingRoute, Headers]>([
     ['plain', 'long', { 'x-lasts': 4 * LONG_MS }],
     ['plain, which may run once', 'longOnce', { 'x-lasts': 4 * LONG_MS }],
     ['stream without a head', 'stream', { 'x-form': 'stream', 'x-head-after': 4 * LONG_MS }],
     ['resumable stream without a head', 'resumable', { 'x-form': 'stream', 'x-head-after': 4 * LONG_MS }],
-  ])('should be told that they may have run, at a server: %s', async (name, route, headers) => {
+  ])('should be answered as possibly run if they are at a server: %s', async (name, route, headers) => {
     await start();
     const asked = askFor(route, headers);
     await pause(REACH_MS);
@@ -113,7 +113,7 @@
    * Fault: when the stream to the leader was closed, requests that waited for a slot were sent to a
    * server that the entry chose by itself, and were aborted when the process ended.
    */
-  it.each<StoppingRoute>(['long', 'longOnce', 'stream'])('should be refused as not run, and not run, while they wait for a place: %s', async (route) => {
+  it.each<StoppingRoute>(['long', 'longOnce', 'stream'])('should be refused as not run, and not run, while they wait for a slot: %s', async (route) => {
     await start({
       isHeld: true,
       routing: makeStoppingRouting({
@@ -145,7 +145,7 @@
 
   // Fault: a request that arrived after the open ones were refused was cut off while it waited for
   // a lease.
-  it('should be refused as not run when they come in the last moments', async () => {
+  it('should be refused as not run when they arrive at the end of the grace period', async () => {
     await start({ graceMs: LONG_GRACE_MS });
     const kept = await site.open();
     checkStatus(await askFor('brief', {}, kept), 200);
@@ -160,7 +160,7 @@
   });
 
   // A reply of the leader that cannot be processed must not abort open requests.
-  it('should be answered where the leader cannot be told', async () => {
+  it('should be answered if the shutdown cannot be reported to the leader', async () => {
     await start({ isHeld: true });
     const asked = askFor('long', { 'x-lasts': LOCATE_MS });
     await pause(REACH_MS);
@@ -172,7 +172,7 @@
   });
 
   // An aborted stream must not look complete.
-  it('should be broken off in the middle of a stream that runs on', async () => {
+  it('should be aborted in the middle of a stream that does not end', async () => {
     await start();
     const asked = askFor('stream', { 'x-form': 'stream', 'x-lasts': 4 * LONG_MS });
     await pause(REACH_MS);
@@ -183,9 +183,9 @@
   });
 });
 
-describe('an entry whose grace is shorter than callers may use an old answer', () => {
+describe('an entry whose grace period is shorter than callers may cache its address', () => {
   // Otherwise the process is killed while it still serves callers as before.
-  it('should answer what is open, and end, within the grace', async () => {
+  it('should answer open requests and end within the grace period', async () => {
     const graceMs = LOCATE_MS / 2;
     await start({ graceMs });
     const asked = askFor('longOnce', { 'x-lasts': LONG_MS });
@@ -197,7 +197,7 @@
   });
 });
 
-describe('answers that are finished, for slow readers', () => {
+describe('finished answers to slow readers', () => {
   const fill = async (route: StoppingRoute): Promise<[RawCaller, Promise<CallerResult>]> => {
     const [server] = site.servers;
     if (server) server.isFull = () => site.countWaitingBytes() > 0;
@@ -222,7 +222,7 @@
   });
 
   // The process must not end while bytes are left in its sockets, even if no request is open.
-  it('should be written to the end while the grace lasts', async () => {
+  it('should be written to the end within the grace period', async () => {
     await start({ graceMs: 4 * GRACE_MS });
     const [caller, asked] = await fill('stream');
     const stopping = site.stop();
--- a/tests/relay/watch-stream.spec.ts
+++ b/tests/relay/watch-stream.spec.ts
@@ -14,7 +14,7 @@
 const ask = (line: WatchStream, revision: number, timeoutMs = 2_000): Promise<WatchReply> => (
   line.sendRequest(WatchRequest.fromPartial({ workersRevision: revision }), timeoutMs));
 
-describe('the line of an entry to the leader', () => {
+describe('WatchStream', () => {
   let server: RpcServer | undefined;
   let link: RpcLink<SiteClient> | undefined;
 
@@ -37,7 +37,7 @@
     server?.close();
   });
 
-  it('should answer question after question over one stream', async () => {
+  it('should send several requests over one stream', async () => {
     const line = await listen((stream, { workersRevision }) => (
       stream.send(WatchReply.fromPartial({ workersRevision }))));
     expect((await ask(line, 3)).workersRevision).toBe(3);
@@ -48,7 +48,7 @@
    * A frozen leader answers an open request when it resumes. The entry has opened another stream by
    * then, and the late reply must not be used for a later request.
    */
-  it('should end with a question that is not answered in time, and take no late answer', async () => {
+  it('should end after a request that is not answered in time and ignore its late reply', async () => {
     let frozen: Stream | undefined;
     const line = await listen((stream, { workersRevision }) => {
       if (workersRevision === 1) frozen = stream;
@@ -63,7 +63,7 @@
     expect((await answer).workersRevision).toBe(5);
   });
 
-  it('should fail the question that is open when the replica ends the stream', async () => {
+  it('should reject the pending request when the replica ends the stream', async () => {
     const line = await listen((stream) => stream.end());
     await expect(ask(line, 1)).rejects.toThrow();
     expect(line.isOpen).toBe(false);
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -92,12 +92,12 @@
   }
 }
 
-describe('picking a server for a request', () => {
+describe('WorkerPicker', () => {
   /*
    * Fault: a leaving server got new requests and cut them off. A leader that was cut off from the
    * other replicas did not know that the server was leaving and still granted its slots.
    */
-  it('should not take a server that leaves from a leader that has not heard of it', async () => {
+  it('should not use a leaving server that the leader does not know to be leaving', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'draining'), makeRecord('w2', 'ready')]);
     const leader = new StubbornLeader('w1');
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
@@ -110,7 +110,7 @@
    * Fault: requests whose callers had disconnected while they waited for a slot stayed in the queue
    * before those of other callers, and were then charged to their accounts.
    */
-  it('should take a request back that waits for a place when its caller has gone', async () => {
+  it('should cancel a request that waits for a slot when its caller disconnects', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
     const cancelled: string[] = [];
     let decide = (): void => undefined;
@@ -134,7 +134,7 @@
   });
 
   // The leader may grant slots at a server that asked this entry for a backoff.
-  it('should not take a place at a server that asked for rest', async () => {
+  it('should not use a slot at a server that asked for a backoff', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
     const leader = new StubbornLeader('w1');
     askForRest(site, 'w1', 3_000);
@@ -146,7 +146,7 @@
   });
 
   // Callers must not wait for a slot that this entry would not use.
-  it('should ask for no place at engines that all asked for rest', async () => {
+  it('should request no slot if all engines asked for a backoff', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
     const leader = new StubbornLeader('w1');
     askForRest(site, 'w1', 3_000);
@@ -157,7 +157,7 @@
   });
 
   // The leader may learn that a server is leaving later than its entries do.
-  it('should not take a place at a server that said in an answer that it leaves', async () => {
+  it('should not use a slot at a server that reported that it is leaving', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
     const leader = new StubbornLeader('w1');
     noteNotice(site, 'w1', { restMs: 0, isLeaving: true });
@@ -169,7 +169,7 @@
   });
 
   // The second request must not wait at the leader once another one used up the backoff's probes.
-  it('should refuse at once what is left over when a place at a server that rests is taken', async () => {
+  it('should refuse the other requests at once when the slot of a server that is backing off is taken', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
     const leader = new StubbornLeader('w1');
     askForRest(site, 'w1', 3_000);
