--- a/src/relay/answerWriter.ts
+++ b/src/relay/answerWriter.ts
@@ -14,7 +14,9 @@
 /** Statuses whose answers have no body, whatever their headers say (RFC 9110, section 6.4.1). */
 const BODILESS_STATUSES: readonly number[] = [204, 304];
 
-const isSelfDelimited = ({ status, headers }: UpstreamHead): boolean => BODILESS_STATUSES.includes(status)
+const isSelfDelimited = (
+  { status, headers }: UpstreamHead,
+): boolean => BODILESS_STATUSES.includes(status)
   || findHeader(headers, 'content-length') !== undefined
   || findHeader(headers, 'transfer-encoding') !== undefined;
 
@@ -23,7 +25,7 @@
  * another server can resume the stream. `buffered`: complete, so that a request whose answer is cut
  * off can be retried or answered with an error.
  */
-export type AnswerMode = 'direct' | 'framed' | 'held';
+export type AnswerMode = 'direct' | 'framed' | 'buffered';
 
 /**
  * Returns how the answers of a route are passed on.
@@ -32,7 +34,7 @@
  * const writer = new AnswerWriter(response, pickAnswerMode(route), readNow, isClosing);
  */
 export const pickAnswerMode = ({ kind, isResumable }: Route): AnswerMode => {
-  if (kind !== 'stream') return 'held';
+  if (kind !== 'stream') return 'buffered';
   return isResumable ? 'framed' : 'direct';
 };
 
@@ -47,7 +49,7 @@
  */
 export class AnswerWriter {
   /** When the first and the last chunk of the body were written, monotonic milliseconds. */
-  firstAt = 0;
+  firstChunkAt = 0;
 
   lastChunkAt = 0;
 
@@ -55,7 +57,7 @@
   statusCode = 0;
 
   /** Number of chunks that were written: events in `framed` mode, writes otherwise. */
-  pieces = 0;
+  chunkCount = 0;
 
   private readonly framer: EventFramer | undefined;
 
@@ -85,7 +87,7 @@
   }
 
   /** Whether the head of an answer was sent to the caller. */
-  get hasBegun(): boolean {
+  get hasStarted(): boolean {
     return this.response.headersSent;
   }
 
@@ -106,9 +108,9 @@
 
   /** Passes a head on; does nothing for a resumed stream, whose head was sent before. */
   writeHead(head: UpstreamHead): void {
-    if (this.hasBegun) return;
+    if (this.hasStarted) return;
     this.statusCode = head.status;
-    if (this.mode === 'held') this.bufferedHead = head;
+    if (this.mode === 'buffered') this.bufferedHead = head;
     else this.sendHead(head);
   }
 
@@ -119,17 +121,17 @@
     this.response.shouldKeepAlive &&= !this.isCloseDelimited && !this.isClosing();
     this.response.writeHead(head.status, dropHeaders(head.headers, NO_EXTRA_HEADERS));
     // The caller of a stream gets the head before the first event.
-    if (this.mode !== 'held') this.response.flushHeaders();
+    if (this.mode !== 'buffered') this.response.flushHeaders();
   }
 
   /** Passes a chunk on; returns false if the caller reads more slowly than chunks arrive. */
   write(chunk: Buffer): boolean {
-    if (this.mode === 'held') return this.bufferChunk(chunk);
+    if (this.mode === 'buffered') return this.bufferChunk(chunk);
     const bytes = this.framer ? this.framer.push(chunk) : chunk;
     if (bytes.length === 0) return true;
     this.lastChunkAt = this.readNow();
-    if (this.pieces === 0) this.firstAt = this.lastChunkAt;
-    this.pieces = this.framer ? this.framer.eventCount : this.pieces + 1;
+    if (this.chunkCount === 0) this.firstChunkAt = this.lastChunkAt;
+    this.chunkCount = this.framer ? this.framer.eventCount : this.chunkCount + 1;
     return this.send(bytes);
   }
 
@@ -189,7 +191,7 @@
   fail(error: BeechliftError): void {
     if (this.isFinished) return;
     this.hasFailed = true;
-    if (this.hasBegun) {
+    if (this.hasStarted) {
       this.abort();
       return;
     }
--- a/src/relay/attemptOutcome.ts
+++ b/src/relay/attemptOutcome.ts
@@ -17,12 +17,12 @@
   /** The caller's id of the request. */
   readonly requestId: string;
   /** Whether the head of an answer was sent to the caller before. */
-  readonly hasBegun: boolean;
+  readonly hasStarted: boolean;
 }
 
 /** Returns a failure if a resumed stream is not answered with a success. */
-const checkResumedStatus = ({ status, hasBegun }: AnswerHead): AttemptOutcome | undefined => {
-  if (!hasBegun || status === OK) return undefined;
+const checkResumedStatus = ({ status, hasStarted }: AnswerHead): AttemptOutcome | undefined => {
+  if (!hasStarted || status === OK) return undefined;
   return { kind: 'failed', reason: `expected status 200 for a resumed stream, received ${status}` };
 };
 
@@ -38,7 +38,7 @@
   reserveRetry: () => boolean,
 ): AttemptOutcome | undefined => {
   const {
-    status, answer, requestId, hasBegun,
+    status, answer, requestId, hasStarted,
   } = head;
   if (answer.isNotExecuted) return { kind: 'rejected', reason: `status ${status}, not executed` };
   if (answer.requestId !== requestId || answer.isEncoded) {
@@ -46,7 +46,7 @@
   }
   if (status < SERVER_ERROR) return checkResumedStatus(head);
   const outcome: AttemptOutcome = { kind: 'failed', reason: `status ${status}` };
-  return hasBegun || reserveRetry() ? outcome : undefined;
+  return hasStarted || reserveRetry() ? outcome : undefined;
 };
 
 /** An attempt whose call has finished. */
@@ -67,7 +67,7 @@
  */
 export const settleAttempt = (
   {
-    worker, tracker: tracker, writer, now,
+    worker, tracker, writer, now,
   }: FinishedAttempt,
   callOutcome: UpstreamOutcome,
   headOutcome: AttemptOutcome | undefined,
@@ -81,7 +81,7 @@
     tracker.recordAnswer(true);
     return headOutcome;
   }
-  if (callOutcome.kind === 'whole') {
+  if (callOutcome.kind === 'complete') {
     clearSuspension(worker);
     writer.end();
     tracker.recordAnswer(writer.statusCode >= SERVER_ERROR);
--- a/src/relay/attemptTracker.ts
+++ b/src/relay/attemptTracker.ts
@@ -78,12 +78,12 @@
   /** Records a chunk that was passed on; updates the pace every `PACE_SAMPLE_CHUNKS` events. */
   recordChunk(): void {
     const { isStream, picked } = this.parts;
-    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
-    if (!isStream || pieces === 0) return;
-    const hasPaceSample = pieces % PACE_SAMPLE_CHUNKS === 0;
-    const paceMs = hasPaceSample ? (lastChunkAt - firstAt) / (pieces - 1) : 0;
+    const { firstChunkAt, lastChunkAt, chunkCount } = this.parts.writer;
+    if (!isStream || chunkCount === 0) return;
+    const hasPaceSample = chunkCount % PACE_SAMPLE_CHUNKS === 0;
+    const paceMs = hasPaceSample ? (lastChunkAt - firstChunkAt) / (chunkCount - 1) : 0;
     if (hasPaceSample) recordPace(picked.worker, paceMs);
-    if (hasPaceSample || pieces === 1) this.report({ phase: 'running', ...NO_TIMINGS, paceMs });
+    if (hasPaceSample || chunkCount === 1) this.report({ phase: 'running', ...NO_TIMINGS, paceMs });
   }
 
   /** Records that the request has left the server. */
@@ -96,13 +96,13 @@
 
   /** Reports the outcome of the attempt to the leader. */
   reportOutcome(kind: AttemptOutcome['kind']): void {
-    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
-    const isTimed = kind === 'answered' && pieces > 0;
+    const { firstChunkAt, lastChunkAt, chunkCount } = this.parts.writer;
+    const isTimed = kind === 'answered' && chunkCount > 0;
     this.report({
       phase: PLACED_PHASES[kind],
       paceMs: 0,
-      firstEventMs: isTimed ? firstAt - this.startedAt : 0,
-      outputMs: isTimed ? lastChunkAt - firstAt : 0,
+      firstEventMs: isTimed ? firstChunkAt - this.startedAt : 0,
+      outputMs: isTimed ? lastChunkAt - firstChunkAt : 0,
     });
   }
 
@@ -111,17 +111,17 @@
     const {
       site, clock, isStream, picked,
     } = this.parts;
-    const { firstAt, lastChunkAt: lastChunkAt, pieces } = this.parts.writer;
+    const { firstChunkAt, lastChunkAt, chunkCount } = this.parts.writer;
     const { tokens } = this.parts.facts;
-    const isTimed = isStream && tokens !== undefined && pieces > 0;
+    const isTimed = isStream && tokens !== undefined && chunkCount > 0;
     const holdMs = clock.now() - this.startedAt;
     recordAnswer(site.workers, picked.worker, {
       holdMs,
       paceMs: isStream ? 0 : holdMs,
       firstEvent: isTimed
-        ? { ms: firstAt - this.startedAt, tokens: tokens.prompt + this.pendingTokensBefore }
+        ? { ms: firstChunkAt - this.startedAt, tokens: tokens.prompt + this.pendingTokensBefore }
         : undefined,
-      output: isTimed ? { ms: lastChunkAt - firstAt, tokens: tokens.expected } : undefined,
+      output: isTimed ? { ms: lastChunkAt - firstChunkAt, tokens: tokens.expected } : undefined,
       failed,
     });
   }
--- a/src/relay/callerConnections.ts
+++ b/src/relay/callerConnections.ts
@@ -81,7 +81,11 @@
     else refuseUnreadable(error, socket);
   }
 
-  private checkHeadTimeout(error: ReadError, socket: Socket, latest: ServerResponse | undefined): void {
+  private checkHeadTimeout(
+    error: ReadError,
+    socket: Socket,
+    latest: ServerResponse | undefined,
+  ): void {
     setImmediate(() => {
       if (this.latestResponse.get(socket) === latest) refuseUnreadable(error, socket);
       else this.failed.delete(socket);
--- a/src/relay/crashRecords.ts
+++ b/src/relay/crashRecords.ts
@@ -10,9 +10,9 @@
 export type ServerCrash = Omit<CrashSighting, 'ageMs'>;
 
 interface CrashRecord {
-  readonly end: ServerCrash;
+  readonly crash: ServerCrash;
   readonly at: number;
-  isTold: boolean;
+  isReported: boolean;
 }
 
 /**
@@ -29,7 +29,8 @@
   /** Adds a crash. */
   add(crash: ServerCrash, now: number): void {
     this.records = [
-      ...this.records.filter(({ at }) => now - at <= RETENTION_MS), { end: crash, at: now, isTold: false },
+      ...this.records.filter(({ at }) => now - at <= RETENTION_MS),
+      { crash, at: now, isReported: false },
     ].slice(-MAX_RECORDS);
   }
 
@@ -41,33 +42,33 @@
   /** Counts the servers that have recently crashed under a request. */
   countServers(fingerprint: string, now: number): number {
     return new Set(this.records
-      .filter(({ end: crash, at }) => crash.fingerprint === fingerprint && now - at <= RETENTION_MS)
-      .map(({ end: crash }) => formatIncarnation(crash))).size;
+      .filter(({ crash, at }) => crash.fingerprint === fingerprint && now - at <= RETENTION_MS)
+      .map(({ crash }) => formatIncarnation(crash))).size;
   }
 
   /** Whether there are crashes that were not reported to the leader. */
   get hasUnreported(): boolean {
-    return this.records.some(({ isTold: isReported }) => !isReported);
+    return this.records.some(({ isReported }) => !isReported);
   }
 
   /** Marks all crashes as unreported, for a new leader. */
   markUnreported(): void {
     this.records.forEach((record) => {
-      record.isTold = false;
+      record.isReported = false;
     });
   }
 
   /** Returns the crashes that were not reported yet and marks them as reported. */
   takeUnreported(now: number): CrashSighting[] {
-    const unreported = this.records.filter(({ isTold: isReported }) => !isReported);
+    const unreported = this.records.filter(({ isReported }) => !isReported);
     unreported.forEach((record) => {
-      record.isTold = true;
+      record.isReported = true;
     });
-    return unreported.map(({ end: crash, at }) => ({ ...crash, ageMs: Math.round(now - at) }));
+    return unreported.map(({ crash, at }) => ({ ...crash, ageMs: Math.round(now - at) }));
   }
 
   /** Removes the crashes of a request that was served later. */
   forget(fingerprint: string): void {
-    this.records = this.records.filter(({ end: crash }) => crash.fingerprint !== fingerprint);
+    this.records = this.records.filter(({ crash }) => crash.fingerprint !== fingerprint);
   }
 }
--- a/src/relay/eventFramer.ts
+++ b/src/relay/eventFramer.ts
@@ -30,12 +30,14 @@
     this.remainder = bytes.subarray(end);
     const completeEvents = bytes.subarray(0, end);
     this.readEvents(completeEvents);
-    return this.remainder.length > MAX_BLOCK_BYTES ? Buffer.concat([completeEvents, this.takeRemainder()]) : completeEvents;
+    return this.remainder.length > MAX_BLOCK_BYTES
+      ? Buffer.concat([completeEvents, this.takeRemainder()])
+      : completeEvents;
   }
 
   /** Takes the bytes after the last whole event, for an answer that has ended normally. */
   takeRemainder(): Buffer {
-    const { remainder: remainder } = this;
+    const { remainder } = this;
     this.remainder = Buffer.alloc(0);
     return remainder;
   }
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -29,7 +29,7 @@
   picked?: PickedWorker,
 ): boolean => {
   if (!site.isLeaving) return true;
-  const { remainingMs: remainingMs } = site;
+  const { remainingMs } = site;
   if (Math.min(route.timeoutMs, patienceMs ?? Infinity) <= remainingMs) return true;
   if (!tokens) return false;
   const size = { service, promptTokens: tokens.prompt, outputTokens: tokens.output };
--- a/src/relay/openRequests.ts
+++ b/src/relay/openRequests.ts
@@ -7,9 +7,9 @@
   /** Serves the request; never rejects. */
   readonly run: () => Promise<void>;
   /** Refuses the request because the entry shuts down, unless an answer has started. */
-  readonly endWithEntry: () => void;
+  readonly refuseForShutdown: () => void;
   /** Aborts an answer that has started, so that it does not look complete. */
-  readonly breakOff: () => void;
+  readonly abortAnswer: () => void;
 }
 
 /** The request and response of an answer. */
@@ -74,11 +74,11 @@
 
   /** Refuses all requests whose answers have not started. */
   endAll(): void {
-    [...this.open].forEach((request) => request.endWithEntry());
+    [...this.open].forEach((request) => request.refuseForShutdown());
   }
 
   /** Aborts all answers in progress. */
   abortAll(): void {
-    [...this.open].forEach((request) => request.breakOff());
+    [...this.open].forEach((request) => request.abortAnswer());
   }
 }
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -219,7 +219,12 @@
       },
     });
     this.leaderStream = {
-      link, stream, lastSent: 0, lastAsked: 0, lastAcknowledged: 0, replyDueSince: this.parts.clock.now(),
+      link,
+      stream,
+      lastSent: 0,
+      lastAsked: 0,
+      lastAcknowledged: 0,
+      replyDueSince: this.parts.clock.now(),
     };
     return this.leaderStream;
   }
@@ -255,7 +260,7 @@
   }
 
   private checkSilence(): void {
-    const { leaderStream: leaderStream } = this;
+    const { leaderStream } = this;
     if (!leaderStream || !this.isReplyDue(leaderStream)) return;
     const silentMs = this.parts.clock.now() - leaderStream.replyDueSince;
     if (silentMs < LEADER_SILENCE_MS) {
--- a/src/relay/rawHeaders.ts
+++ b/src/relay/rawHeaders.ts
@@ -40,7 +40,9 @@
   return listPairs(headers)
     .filter(([name]) => {
       const lower = name.toLowerCase();
-      return !CONNECTION_HEADERS.has(lower) && !connectionOptions.has(lower) && !excluded.has(lower);
+      return !CONNECTION_HEADERS.has(lower)
+        && !connectionOptions.has(lower)
+        && !excluded.has(lower);
     })
     .flat();
 };
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -53,7 +53,11 @@
 /** Interval at which limits are applied and idle connections to removed servers are closed. */
 const REFRESH_INTERVAL_MS = 500;
 
-const refreshLimitsAndConnections = (site: RelaySite, app: FastifyInstance, connections: WorkerConnections): void => {
+const refreshConnections = (
+  site: RelaySite,
+  app: FastifyInstance,
+  connections: WorkerConnections,
+): void => {
   const limits = site.table?.routing.limits;
   if (limits) applyCallerLimits(app, limits);
   const addresses = [...site.workers.byId.values()]
@@ -110,7 +114,10 @@
     openRequests,
   });
   watch.start();
-  const refreshTimer = setInterval(() => refreshLimitsAndConnections(site, app, connections), REFRESH_INTERVAL_MS);
+  const refreshTimer = setInterval(
+    () => refreshConnections(site, app, connections),
+    REFRESH_INTERVAL_MS,
+  );
   const shutdown = new RelayShutdown({
     site,
     server: app.server,
--- a/src/relay/relayShutdown.ts
+++ b/src/relay/relayShutdown.ts
@@ -1,6 +1,6 @@
 import { Server as NetServer } from 'node:net';
 import type { Server } from 'node:http';
-import { setImmediate as readWaiting, setTimeout as pause } from 'node:timers/promises';
+import { setImmediate as readPendingInput, setTimeout as pause } from 'node:timers/promises';
 import type { Logger } from '../telemetry/logger';
 import type { Clock } from '../utils/clock';
 import type { OpenRequests } from './openRequests';
@@ -46,10 +46,12 @@
   /** Resolves once no request is open. */
   async run(): Promise<void> {
     const {
-      site, server, openRequests, announceLeaving: announceLeaving, locateMs, graceMs, clock, logger,
+      site, server, openRequests, announceLeaving, locateMs, graceMs, clock, logger,
     } = this.parts;
     const startedAt = clock.now();
-    const readRemainingMs = (fraction: number): number => startedAt + fraction * graceMs - clock.now();
+    const readRemainingMs = (
+      fraction: number,
+    ): number => startedAt + fraction * graceMs - clock.now();
     site.beginLeaving(startedAt + ANSWER_FRACTION * graceMs);
     logger.info('entry shuts down', { graceMs });
     await announceLeaving().catch((error: unknown) => logger.error('the shutdown was not reported to the leader', { reason: String(error) }));
@@ -76,9 +78,9 @@
   private async waitQuiet(readRemainingMs: () => number): Promise<void> {
     const { openRequests } = this.parts;
     await openRequests.waitIdle(readRemainingMs());
-    const { acceptedCount: acceptedCount } = openRequests;
+    const { acceptedCount } = openRequests;
     await pause(Math.max(0, Math.min(QUIET_PERIOD_MS, readRemainingMs())));
-    await readWaiting();
+    await readPendingInput();
     // A request that arrived in the turn in which the last one ended was counted above and is open.
     const isQuiet = openRequests.count === 0 && openRequests.acceptedCount === acceptedCount;
     if (!isQuiet && readRemainingMs() > 0) await this.waitQuiet(readRemainingMs);
--- a/src/relay/requestFailover.ts
+++ b/src/relay/requestFailover.ts
@@ -19,7 +19,7 @@
 
 /** Access that a failover needs to its request. */
 export interface RequestFailoverParts {
-  readonly log: Pick<RequestLog, 'noteStay'>;
+  readonly log: Pick<RequestLog, 'logSilentWait'>;
   /** Finds another server; resolves with undefined once `isUnneeded` holds or the request ended. */
   readonly pickWorker: (isUnneeded: () => boolean) => Promise<PickedWorker | undefined>;
   /** Releases a slot that is not used. */
@@ -64,7 +64,7 @@
     parts: RequestFailoverParts,
   ): Promise<PickedWorker | undefined> {
     const picked = await parts.pickWorker(() => call.hasAnswerHead)
-      .catch((error: unknown) => parts.log.noteStay(error));
+      .catch((error: unknown) => parts.log.logSilentWait(error));
     if (!picked) return undefined;
     const isWanted = !call.hasAnswerHead && !parts.isFinished();
     // Checked again: the retry may no longer be allowed after the wait for a slot.
--- a/src/relay/requestGuard.ts
+++ b/src/relay/requestGuard.ts
@@ -40,7 +40,7 @@
   }
 
   /** Whether the request is not suspect, so that the entry may choose a server by itself. */
-  get isFree(): boolean {
+  get isUnsuspected(): boolean {
     return this.countLocalCrashes() < MAX_CRASHES && this.findSuspect() === undefined;
   }
 
--- a/src/relay/requestLog.ts
+++ b/src/relay/requestLog.ts
@@ -31,13 +31,13 @@
     { route }: AdmittedRequest,
     { worker, expectedMs, placeId }: PickedWorker,
     outcome: AttemptOutcome,
-    writer: Pick<AnswerWriter, 'statusCode' | 'firstAt' | 'pieces'>,
+    writer: Pick<AnswerWriter, 'statusCode' | 'firstChunkAt' | 'chunkCount'>,
   ): void {
     const { metrics, logger, clock } = this.parts;
     const now = clock.now();
     metrics.attempts.inc({ outcome: outcome.kind });
     if (outcome.kind === 'answered') {
-      const answeredAt = route.kind === 'stream' && writer.pieces > 0 ? writer.firstAt : now;
+      const answeredAt = route.kind === 'stream' && writer.chunkCount > 0 ? writer.firstChunkAt : now;
       const seconds = (answeredAt - this.receivedAt) / MS_PER_SECOND;
       metrics.latency.observe({ kind: route.kind }, seconds);
     }
@@ -57,7 +57,7 @@
   }
 
   /** Logs that a request stays at an unresponsive server because no other one accepts it. */
-  noteStay(error: unknown): undefined {
+  logSilentWait(error: unknown): undefined {
     this.parts.logger.info('request stays at an unresponsive server', { requestId: this.requestId, reason: String(error) });
     return undefined;
   }
--- a/src/relay/retryPolicy.ts
+++ b/src/relay/retryPolicy.ts
@@ -58,7 +58,9 @@
    */
   reserveRetry(deadlineAt: number): boolean {
     const now = this.parts.clock.now();
-    const isAllowed = this.canSendAgain && this.guard.isFree && this.hasTriesLeft(now, deadlineAt);
+    const isAllowed = this.canSendAgain
+      && this.guard.isUnsuspected
+      && this.hasTriesLeft(now, deadlineAt);
     if (!isAllowed || !this.parts.picker.hasAvailableWorker(this.admitted.service)) return false;
     this.hasReservedRetry ||= this.parts.site.retries.take(this.admitted.service, now);
     return this.hasReservedRetry;
@@ -83,9 +85,9 @@
     // The answer of another server must not be appended to the part that the caller already has,
     // unless the stream is resumed after that part.
     const canResume = writer.canResume && site.workers.mechanisms.resumption;
-    if (writer.hasBegun && !canResume) return false;
+    if (writer.hasStarted && !canResume) return false;
     if (outcome.kind === 'unsent') return true;
-    if (!this.guard.isFree) return false;
+    if (!this.guard.isUnsuspected) return false;
     const { route, service } = this.admitted;
     const isSafe = outcome.kind === 'rejected' || this.isRepeatable;
     const hasAttempts = outcome.kind === 'rejected' || this.sendCount < route.maxAttempts;
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -91,13 +91,13 @@
   }
 
   /** Refuses the request because the entry shuts down, unless an answer has started. */
-  endWithEntry(): void {
-    if (this.writer.hasBegun) return;
+  refuseForShutdown(): void {
+    if (this.writer.hasStarted) return;
     this.giveUp(makeLeavingError(), 'the entry shuts down');
   }
 
   /** Aborts an answer that has started and is incomplete. */
-  breakOff(): void {
+  abortAnswer(): void {
     if (this.response.writableEnded) return;
     this.writer.abort();
   }
@@ -133,7 +133,7 @@
     const timer = setTimeout(() => this.expire(), this.deadlineAt - clock.now());
     try {
       await this.tryServers({
-        admitted, body, guard, retryPolicy: retryPolicy,
+        admitted, body, guard, retryPolicy,
       });
     } finally {
       clearTimeout(timer);
@@ -151,14 +151,15 @@
 
   /** Tries one server after another until the request is answered or refused. */
   private async tryServers(prepared: PreparedRequest): Promise<void> {
-    const { admitted, retryPolicy: retryPolicy } = prepared;
+    const { admitted, retryPolicy } = prepared;
     const picked = await this.failover.takeWorker() ?? await this.pickWorker(prepared);
     if (!picked) return;
     if (this.writer.isFinished) {
       this.releasePicked(admitted, picked);
       return;
     }
-    if (!this.writer.hasBegun && !canAnswerInTime(this.parts.site, admitted, this.facts, picked)) {
+    if (!this.writer.hasStarted
+      && !canAnswerInTime(this.parts.site, admitted, this.facts, picked)) {
       this.releasePicked(admitted, picked);
       throw makeLeavingError();
     }
@@ -185,8 +186,8 @@
       deadlineAt: this.deadlineAt,
       tried: [...this.tried],
       guard,
-      isOver: () => this.writer.isFinished || isUnneeded(),
-      noteWaiting: (cancel) => {
+      isAbandoned: () => this.writer.isFinished || isUnneeded(),
+      onWaiting: (cancel) => {
         this.cancelPick = cancel;
       },
     });
@@ -194,7 +195,7 @@
 
   private async attempt(prepared: PreparedRequest, picked: PickedWorker): Promise<AttemptOutcome> {
     const {
-      admitted, body, guard, retryPolicy: retryPolicy,
+      admitted, body, guard, retryPolicy,
     } = prepared;
     const { worker } = picked;
     const { connections } = this.parts;
@@ -228,10 +229,10 @@
     tracker.releaseWorker();
     this.call = undefined;
     if (call.isSent) retryPolicy.sendCount += 1;
-    if (callOutcome.kind === 'whole') connections.release(connection);
+    if (callOutcome.kind === 'complete') connections.release(connection);
     else connection.end();
     const outcome = settleAttempt({
-      worker, tracker: tracker, writer: this.writer, now: this.parts.clock.now(),
+      worker, tracker, writer: this.writer, now: this.parts.clock.now(),
     }, callOutcome, headOutcome);
     // Must come before any await: the request may be refused meanwhile, and the refusal depends on
     // whether the request may have run.
@@ -285,9 +286,9 @@
     const answer: AnswerFacts = this.parts.dialect.readAnswer(headers);
     const { requestId } = this.facts;
     applyNotice(this.parts, worker, { ...answer, status, requestId });
-    const { hasBegun } = this.writer;
+    const { hasStarted } = this.writer;
     return checkAnswerHead({
-      status, answer, requestId, hasBegun,
+      status, answer, requestId, hasStarted,
     }, () => this.reserveRetry(prepared));
   }
 
@@ -297,7 +298,7 @@
    * slot. Until then the first server may still answer, so silence alone does not end the request.
    */
   private handleSilence(prepared: PreparedRequest, worker: RoutedWorker, call: UpstreamCall): void {
-    const isSilent = !this.writer.hasBegun && !call.hasAnswerHead;
+    const isSilent = !this.writer.hasStarted && !call.hasAnswerHead;
     if (!isSilent || !this.parts.site.workers.mechanisms.silence) return;
     suspendWorker(worker, this.parts.clock.now());
     if (!this.reserveRetry(prepared)) return;
@@ -313,7 +314,7 @@
   }
 
   /** Reserves another send; returns whether it is certain to be allowed if this one is aborted. */
-  private reserveRetry({ admitted, retryPolicy: retryPolicy }: PreparedRequest, picked?: PickedWorker): boolean {
+  private reserveRetry({ admitted, retryPolicy }: PreparedRequest, picked?: PickedWorker): boolean {
     return canAnswerInTime(this.parts.site, admitted, this.facts, picked)
       && retryPolicy.reserveRetry(this.deadlineAt);
   }
--- a/src/relay/siteWatch.ts
+++ b/src/relay/siteWatch.ts
@@ -163,7 +163,11 @@
     return true;
   }
 
-  private callWatch(address: string, request: WatchRequest, timeoutMs: number): Promise<WatchReply> {
+  private callWatch(
+    address: string,
+    request: WatchRequest,
+    timeoutMs: number,
+  ): Promise<WatchReply> {
     return this.links.find(address).call<WatchRequest, WatchReply>(
       (stub) => stub.watch.bind(stub),
       request,
--- a/src/relay/upstreamCall.ts
+++ b/src/relay/upstreamCall.ts
@@ -3,7 +3,7 @@
 import type { WorkerConnection } from './workerConnection';
 
 /** Outcome of a request at one backend server. */
-export type UpstreamOutcome = | { readonly kind: 'whole' }
+export type UpstreamOutcome = | { readonly kind: 'complete' }
   /** No byte of the request was sent. */
   | { readonly kind: 'unsent'; readonly reason: string }
   /** The request was sent, and no complete answer was received. */
@@ -130,7 +130,7 @@
   private makeOutcome(): UpstreamOutcome {
     if (this.isRefused) return { kind: 'broken', reason: 'the answer was refused' };
     if (this.connection.wasReset) return { kind: 'broken', reason: 'the connection was reset' };
-    return { kind: 'whole' };
+    return { kind: 'complete' };
   }
 
   private readHead(controller: Dispatcher.DispatchController, status: number): void {
--- a/src/relay/watchStream.ts
+++ b/src/relay/watchStream.ts
@@ -47,7 +47,9 @@
         reject(this.failure);
         return;
       }
-      this.pending = { resolve, reject, timer: setTimeout(() => this.expire(timeoutMs), timeoutMs) };
+      this.pending = {
+        resolve, reject, timer: setTimeout(() => this.expire(timeoutMs), timeoutMs),
+      };
       this.stream.write(request);
     });
   }
@@ -75,7 +77,7 @@
 
   /** Returns the pending request and stops its timer. */
   private settle(): PendingRequest | undefined {
-    const { pending: pending } = this;
+    const { pending } = this;
     this.pending = undefined;
     clearTimeout(pending?.timer);
     return pending;
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -24,11 +24,11 @@
   /** Ids of backend servers that were tried before. */
   readonly tried: readonly string[];
   /** Identifies the request, and says whether it is suspected of crashing servers. */
-  readonly guard: Pick<RequestGuard, 'fingerprint' | 'isFree'>;
+  readonly guard: Pick<RequestGuard, 'fingerprint' | 'isUnsuspected'>;
   /** Returns whether the request no longer needs a server. */
-  readonly isOver: () => boolean;
+  readonly isAbandoned: () => boolean;
   /** Receives a function that cancels the request while it waits for a slot. */
-  readonly noteWaiting: (cancel: () => void) => void;
+  readonly onWaiting: (cancel: () => void) => void;
 }
 
 /** The backend server that was chosen for a request. */
@@ -84,9 +84,9 @@
     const usesLeader = isEngine && site.workers.mechanisms.leaderPlacing;
     const placed = usesLeader ? await this.place(request) : undefined;
     if (placed) return placed;
-    if (request.isOver()) return undefined;
+    if (request.isAbandoned()) return undefined;
     // A suspect request may run only one copy at a time, which only the leader can ensure.
-    if (usesLeader && !request.guard.isFree) throw new BeechliftError('noSlotInTime', 'backend servers crashed under this request, and the control leader is unreachable', { retryAfterMs: NO_WORKER_RETRY_MS });
+    if (usesLeader && !request.guard.isUnsuspected) throw new BeechliftError('noSlotInTime', 'backend servers crashed under this request, and the control leader is unreachable', { retryAfterMs: NO_WORKER_RETRY_MS });
     if (request.tried.length === 0) {
       chargeAccount(site, request.admitted.account, request.facts, clock.now());
     }
@@ -113,7 +113,7 @@
     } = admitted;
     this.lastPlaceNumber += 1;
     const placeId = `${this.placeIdPrefix}${this.lastPlaceNumber}`;
-    request.noteWaiting(() => placeClient.cancel(placeId));
+    request.onWaiting(() => placeClient.cancel(placeId));
     const reply = await placeClient.place({
       placeId,
       entryId: site.entryId,
@@ -147,7 +147,7 @@
     }
     // `rejected`: the leader granted a slot at a server that this entry does not know yet.
     placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMINGS });
-    if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isOver()) return undefined;
+    if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isAbandoned()) return undefined;
     this.checkBackoff(service);
     return this.place(request, requestCount + 1);
   }
--- a/tests/relay/changes-under-requests.spec.ts
+++ b/tests/relay/changes-under-requests.spec.ts
@@ -45,7 +45,7 @@
   ['no route', (rig) => rig.replaceRouting(makeDocument({ version: 2, routes: [] }))],
   ['no service', (rig) => rig.replaceRouting(makeDocument({ version: 2, routes: [], services: [] }))],
   ['no account', (rig) => rig.replaceRouting(makeDocument({ version: 2, accounts: [] }))],
-  ['short times', (rig) => rig.replaceRouting(makeDocument({
+  ['short timeouts', (rig) => rig.replaceRouting(makeDocument({
     version: 2, routes: [makeRoute({ timeoutMs: 1, targetLatencyMs: 1 })],
   }))],
   ['low limits', (rig) => rig.replaceRouting(makeDocument({
@@ -54,9 +54,9 @@
       headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1,
     },
   }))],
-  ['servers that leave', (rig) => rig.setStanding('draining')],
-  ['servers that are gone', (rig) => rig.setStanding('gone')],
-  ['a lease that ran out', (rig) => {
+  ['leaving servers', (rig) => rig.setStanding('draining')],
+  ['removed servers', (rig) => rig.setStanding('gone')],
+  ['an expired lease', (rig) => {
     vi.spyOn(rig.site, 'isServing', 'get').mockReturnValue(false);
   }],
 ];
--- a/tests/relay/crashing-requests-search.spec.ts
+++ b/tests/relay/crashing-requests-search.spec.ts
@@ -14,11 +14,11 @@
 const FATAL_GAP_MS = 90;
 const HONEST_GAP_MS = 40;
 /** Time in which updates spread and a lost leader is replaced, in milliseconds. */
-const CALM_MS = 1_500;
+const SETTLE_MS = 1_500;
 /** Most retries that may still reach servers after that. */
-const MOST_LATE = 3;
+const MAX_LATE = 3;
 
-type Trouble = 'none' | 'loseLeader' | 'addEntry' | 'crashServer';
+type Disruption = 'none' | 'loseLeader' | 'addEntry' | 'crashServer';
 
 /** Runs one schedule of disruptions while a request crashes servers. */
 class SiteRun {
@@ -30,14 +30,14 @@
 
   constructor(private readonly site: RoutedSite) {}
 
-  async run(troubles: readonly Trouble[]): Promise<void> {
+  async run(disruptions: readonly Disruption[]): Promise<void> {
     const fatal = this.sendEach(FATAL_GAP_MS, (position) => this.site.send(position, FATAL_TEXT));
     const honest = this.sendEach(HONEST_GAP_MS, async (position) => {
       this.answers.push(await this.site.send(position, `honest ${position}`));
     });
-    await troubles.reduce(async (before, trouble) => {
+    await disruptions.reduce(async (before, disruption) => {
       await before;
-      await Promise.all([this.start(trouble), pause(STEP_MS)]);
+      await Promise.all([this.start(disruption), pause(STEP_MS)]);
     }, Promise.resolve());
     this.isOver = true;
     await Promise.all([fatal, honest]);
@@ -49,11 +49,11 @@
     const third = fatalTimes[2] ?? Infinity;
     return fatalTimes.filter((at) => {
       const changes = this.leaderTimes.filter((changed) => changed <= at);
-      return at - Math.max(third, ...changes) > CALM_MS;
+      return at - Math.max(third, ...changes) > SETTLE_MS;
     }).length;
   }
 
-  get wronged(): readonly SiteAnswer[] {
+  get wronglyRefused(): readonly SiteAnswer[] {
     return this.answers.filter(({ code }) => code === 'requestQuarantined');
   }
 
@@ -72,14 +72,14 @@
     await Promise.all(sends);
   }
 
-  private start(trouble: Trouble): Promise<unknown> {
-    const starters: Record<Trouble, () => Promise<unknown>> = {
+  private start(disruption: Disruption): Promise<unknown> {
+    const starters: Record<Disruption, () => Promise<unknown>> = {
       none: () => Promise.resolve(),
       loseLeader: () => this.replaceLeader(),
       addEntry: () => this.site.addEntry(),
       crashServer: () => this.site.servers[0]?.crash() ?? Promise.resolve(),
     };
-    return starters[trouble]();
+    return starters[disruption]();
   }
 
   private async replaceLeader(): Promise<void> {
@@ -93,8 +93,8 @@
   }
 }
 
-const drawTroubles = fc.array(
-  fc.constantFrom<Trouble>('none', 'none', 'loseLeader', 'addEntry', 'crashServer'),
+const schedules = fc.array(
+  fc.constantFrom<Disruption>('none', 'none', 'loseLeader', 'addEntry', 'crashServer'),
   { minLength: STEPS, maxLength: STEPS },
 );
 
@@ -102,7 +102,7 @@
   // Lost leaders, new entries and other crashes must not let the request continue or make other
   // requests suspect.
   it('should reach no server once all entries had time to learn of it, and quarantine no other request', async () => {
-    const property = fc.asyncProperty(drawTroubles, fc.boolean(), async (troubles, isEngine) => {
+    const property = fc.asyncProperty(schedules, fc.boolean(), async (disruptions, isEngine) => {
       const site = await RoutedSite.start({
         services: [{ name: 'rooms', maxConnections: 100, isEngine }],
         routes: [makeRoute({ timeoutMs: 2_000 })],
@@ -110,9 +110,9 @@
       try {
         await site.addServers(SERVERS);
         const run = new SiteRun(site);
-        await run.run(troubles);
-        expect(run.lateCount).toBeLessThanOrEqual(MOST_LATE);
-        expect(run.wronged).toEqual([]);
+        await run.run(disruptions);
+        expect(run.lateCount).toBeLessThanOrEqual(MAX_LATE);
+        expect(run.wronglyRefused).toEqual([]);
       } finally {
         await site.close();
       }
--- a/tests/relay/crashing-requests.spec.ts
+++ b/tests/relay/crashing-requests.spec.ts
@@ -14,13 +14,13 @@
 const SENDS = 30;
 const GAP_MS = 75;
 /** Three that crash servers, those in flight while the third crash is reported, and retries. */
-const MOST_SENDS = 8;
+const MAX_FATAL_REQUESTS = 8;
 /** Requests that arrive before the entries lose their leases. */
 const LEADERLESS_SENDS = 18;
 /** Delay of the replica that starts last, in milliseconds. */
 const LATE_MS = 1_000;
 /** Time in which suspects are written to the disks, in milliseconds. */
-const REMEMBER_MS = 700;
+const STORE_MS = 700;
 
 describe('a request that crashes every server that runs it', () => {
   let site: RoutedSite | undefined;
@@ -51,10 +51,10 @@
     site = undefined;
   });
 
-  const judgeSends = async (started: RoutedSite, body = FATAL_TEXT): Promise<void> => {
+  const checkQuarantine = async (started: RoutedSite, body = FATAL_TEXT): Promise<void> => {
     await sendInTurn(started, body, SENDS);
     const before = started.fatalCount;
-    expect(before).toBeLessThanOrEqual(MOST_SENDS);
+    expect(before).toBeLessThanOrEqual(MAX_FATAL_REQUESTS);
     const answers = await Promise.all(
       Array.from({ length: ENTRIES }, (unused, entry) => started.send(entry, body)),
     );
@@ -66,12 +66,12 @@
 
   // The request is sent again to any entry and crashes one engine after another.
   it('should reach few engines, and none once three have crashed', async () => {
-    await judgeSends(await start(true));
+    await checkQuarantine(await start(true));
   });
 
   // The same at servers that entries choose without the leader.
   it('should reach few other servers, and none once three have crashed', async () => {
-    await judgeSends(await start(false));
+    await checkQuarantine(await start(false));
   });
 
   // Entries that choose servers by themselves must not treat each attempt as the first one.
@@ -81,13 +81,13 @@
     await waitFor(() => started.control.findLeader() === undefined, 'nobody leads');
     await sendInTurn(started, `${FATAL_TEXT} ${STREAM_TEXT}`, LEADERLESS_SENDS);
     expect(started.fatalCount).toBeGreaterThan(0);
-    expect(started.fatalCount).toBeLessThanOrEqual(MOST_SENDS);
+    expect(started.fatalCount).toBeLessThanOrEqual(MAX_FATAL_REQUESTS);
   });
 
   // Servers crash in the middle of a stream, which the entry would resume at another server.
   it('should reach few engines with a stream that may be resumed', async () => {
     const started = await start(true, false, { kind: 'stream', isResumable: true });
-    await judgeSends(started, `${FATAL_TEXT} ${STREAM_TEXT}`);
+    await checkQuarantine(started, `${FATAL_TEXT} ${STREAM_TEXT}`);
   });
 
   // Connections that are reset by running servers must not make a request suspect.
@@ -100,7 +100,7 @@
 
   // Servers restart with the same id, so that only the start time distinguishes the incarnations.
   it('should count the incarnations of a server that keeps its id', async () => {
-    await judgeSends(await start(true, true));
+    await checkQuarantine(await start(true, true));
   });
 
   // A new leader and a new entry must know of the quarantined request.
@@ -126,7 +126,7 @@
     await started.control.stop(await started.control.waitLeader());
     await started.control.waitLeader();
     await sendInTurn(started, FATAL_TEXT, SENDS);
-    expect(started.fatalCount).toBeLessThanOrEqual(MOST_SENDS);
+    expect(started.fatalCount).toBeLessThanOrEqual(MAX_FATAL_REQUESTS);
     expect((await started.listSuspects())[0]?.refusedMs).toBeGreaterThan(0);
   });
 
@@ -134,7 +134,7 @@
   it('should still be refused after a restart of all control replicas', async () => {
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
-    await pause(REMEMBER_MS);
+    await pause(STORE_MS);
     await started.control.restartAll();
     const before = started.fatalCount;
     const entry = await started.addEntry();
--- a/tests/relay/entry-mechanisms.spec.ts
+++ b/tests/relay/entry-mechanisms.spec.ts
@@ -88,9 +88,9 @@
       },
       deadlineAt: systemClock.now() + 5_000,
       tried: [],
-      guard: { fingerprint: '', isFree: true },
-      isOver: () => false,
-      noteWaiting: () => undefined,
+      guard: { fingerprint: '', isUnsuspected: true },
+      isAbandoned: () => false,
+      onWaiting: () => undefined,
     });
     expect(picked?.placeId !== '').toBe(isPlaced);
   });
--- a/tests/relay/hostile-peers.spec.ts
+++ b/tests/relay/hostile-peers.spec.ts
@@ -66,9 +66,9 @@
 ];
 
 /** How a peer ends its connection. */
-type Leaving = 'stays' | 'ends' | 'resets';
+type ConnectionEnd = 'stays' | 'ends' | 'resets';
 
-const leave: Record<Leaving, (socket: Socket) => void> = {
+const endConnection: Record<ConnectionEnd, (socket: Socket) => void> = {
   stays: () => undefined,
   ends: (socket) => socket.end(),
   resets: (socket) => socket.resetAndDestroy(),
@@ -76,10 +76,10 @@
 
 interface Plan {
   readonly parts: readonly number[];
-  readonly leaving: Leaving;
+  readonly leaving: ConnectionEnd;
 }
 
-const leaving = fc.constantFrom<Leaving>('stays', 'ends', 'resets');
+const leaving = fc.constantFrom<ConnectionEnd>('stays', 'ends', 'resets');
 
 const answerPlan: fc.Arbitrary<Plan> = fc.record({
   parts: fc.array(fc.nat({ max: ANSWER_PARTS.length - 1 }), { maxLength: 5 }),
@@ -116,13 +116,13 @@
     if (socket.writable) socket.write(Buffer.from(text, 'latin1'));
     await pause(PART_MS);
   }, Promise.resolve());
-  leave[plan.leaving](socket);
+  endConnection[plan.leaving](socket);
 };
 
 const callOnce = async (
   port: number,
   position: number,
-  plan: { calls: number[]; leaving: Leaving; afterMs: number; reads: boolean },
+  plan: { calls: number[]; leaving: ConnectionEnd; afterMs: number; reads: boolean },
 ): Promise<void> => {
   const socket = new Socket();
   socket.on('error', () => undefined); // Expected: peers reset connections.
@@ -135,14 +135,14 @@
     socket.write(Buffer.from(text, 'latin1'));
   });
   await pause(plan.afterMs);
-  leave[plan.leaving](socket);
+  endConnection[plan.leaving](socket);
   await pause(SETTLE_MS);
   socket.destroy();
 };
 
 /** Errors that would have ended the process. */
 const uncaught: Error[] = [];
-const noteUncaught = (error: Error): void => {
+const addUncaught = (error: Error): void => {
   uncaught.push(error);
 };
 
@@ -153,13 +153,13 @@
     uncaught.length = 0;
     former = process.listeners('uncaughtException');
     process.removeAllListeners('uncaughtException');
-    process.on('uncaughtException', noteUncaught);
-    process.on('unhandledRejection', noteUncaught);
+    process.on('uncaughtException', addUncaught);
+    process.on('unhandledRejection', addUncaught);
   });
 
   afterEach(() => {
     process.removeAllListeners('uncaughtException');
-    process.removeListener('unhandledRejection', noteUncaught);
+    process.removeListener('unhandledRejection', addUncaught);
     former.forEach((listener) => process.on('uncaughtException', listener));
   });
 
@@ -172,7 +172,7 @@
         const serve: ServerScript = (socket, bytes, count) => {
           const id = findId(bytes);
           if (id === 'sound') sendAnswer(socket, id, 'served');
-          else performPlan(socket, id, answers[count % answers.length] as Plan).catch(noteUncaught);
+          else performPlan(socket, id, answers[count % answers.length] as Plan).catch(addUncaught);
         };
         const rig = await RelayRig.start(makeRouting({ routes }), [serve, serve]);
         await Promise.all(calls.map((plan, position) => callOnce(rig.port, position, plan)));
--- a/tests/relay/leader-changes.spec.ts
+++ b/tests/relay/leader-changes.spec.ts
@@ -46,8 +46,8 @@
 
   // Fault: requests that waited for a slot or ran got no answer when the leader was lost.
   it.each([
-    ['what may run once', { kind: 'nonIdempotent' }, 'harmless'],
-    ['what may be repeated', { kind: 'idempotent' }, 'harmless'],
+    ['requests that may run only once', { kind: 'nonIdempotent' }, 'harmless'],
+    ['requests that may be repeated', { kind: 'idempotent' }, 'harmless'],
     ['streams', { kind: 'stream' }, STREAM_TEXT],
   ] as const)('should be answered completely or refused as not run: %s', async (name, route, body) => {
     await start(route);
--- a/tests/relay/odd-answers.spec.ts
+++ b/tests/relay/odd-answers.spec.ts
@@ -9,22 +9,22 @@
 const QUIET_MS = 1_500;
 
 const passed = [
-  ['a status without a class', `HTTP/1.1 999 X\r\n${TAIL}`],
+  ['a status outside all classes', `HTTP/1.1 999 X\r\n${TAIL}`],
   ['no reason', `HTTP/1.1 200\r\n${TAIL}`],
-  ['bytes beyond ASCII in a header', `HTTP/1.1 200 X\r\nx-a: \xe4\xff\x80\r\n${TAIL}`],
-  ['a name of all signs', `HTTP/1.1 200 X\r\nx!#$%&'*+.^_\`|~: a\r\n${TAIL}`],
+  ['non-ASCII bytes in a header', `HTTP/1.1 200 X\r\nx-a: \xe4\xff\x80\r\n${TAIL}`],
+  ['a name with all allowed signs', `HTTP/1.1 200 X\r\nx!#$%&'*+.^_\`|~: a\r\n${TAIL}`],
   ['no content', 'HTTP/1.1 204 X\r\nx-id: r1\r\n\r\n'],
-  ['hints before it', `HTTP/1.1 103 Early\r\nlink: a\r\n\r\nHTTP/1.1 200 X\r\n${TAIL}`],
+  ['early hints before it', `HTTP/1.1 103 Early\r\nlink: a\r\n\r\nHTTP/1.1 200 X\r\n${TAIL}`],
   ['a trailer', 'HTTP/1.1 200 X\r\nx-id: r1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\na: b\r\n\r\n'],
-  ['a length for this connection alone', `HTTP/1.1 200 X\r\nconnection: content-length\r\n${TAIL}`],
+  ['a Connection header that names content-length', `HTTP/1.1 200 X\r\nconnection: content-length\r\n${TAIL}`],
 ] as const;
 
 const refused = [
   ['a control character in a header', `HTTP/1.1 200 X\r\nx-a: \x01\r\n${TAIL}`],
-  ['a change of protocol', 'HTTP/1.1 101 X\r\nupgrade: x\r\nconnection: upgrade\r\nx-id: r1\r\n\r\n'],
-  ['a status below all', `HTTP/1.1 000 X\r\n${TAIL}`],
-  ['two lengths', `HTTP/1.1 200 X\r\ncontent-length: 2\r\n${TAIL}`],
-  ['a length and pieces', `HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n${TAIL}`],
+  ['a protocol upgrade', 'HTTP/1.1 101 X\r\nupgrade: x\r\nconnection: upgrade\r\nx-id: r1\r\n\r\n'],
+  ['a status below 100', `HTTP/1.1 000 X\r\n${TAIL}`],
+  ['two content lengths', `HTTP/1.1 200 X\r\ncontent-length: 2\r\n${TAIL}`],
+  ['a content length and chunked encoding', `HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n${TAIL}`],
   ['bytes of another protocol', 'SSH-2.0-x\r\n'],
 ] as const;
 
--- a/tests/relay/open-requests.spec.ts
+++ b/tests/relay/open-requests.spec.ts
@@ -75,22 +75,22 @@
   it.each([
     ['two hosts', `GET /orders/7 HTTP/1.1\r\n${HEAD}Host: b.example\r\n\r\n`],
     ['no host', 'GET /orders/7 HTTP/1.1\r\nx-id: r1\r\n\r\n'],
-    ['bytes beyond ASCII in a path', `GET /orders/\xe4\xff HTTP/1.1\r\n${HEAD}\r\n`],
+    ['non-ASCII bytes in a path', `GET /orders/\xe4\xff HTTP/1.1\r\n${HEAD}\r\n`],
     ['a tab in a path', `GET /orders/a\tb HTTP/1.1\r\n${HEAD}\r\n`],
-    ['bytes beyond ASCII in a header', `GET /orders/7 HTTP/1.1\r\n${HEAD}x-a: \xe4\xff\x80\r\n\r\n`],
+    ['non-ASCII bytes in a header', `GET /orders/7 HTTP/1.1\r\n${HEAD}x-a: \xe4\xff\x80\r\n\r\n`],
     ['a control character in a header', `GET /orders/7 HTTP/1.1\r\n${HEAD}x-a: \x01\r\n\r\n`],
     ['an empty header', `GET /orders/7 HTTP/1.1\r\n${HEAD}x-a:\r\n\r\n`],
-    ['a length for no body', `GET /orders/7 HTTP/1.1\r\n${HEAD}content-length: 0\r\n\r\n`],
-    ['a body of a GET', `GET /orders/7 HTTP/1.1\r\n${HEAD}content-length: 1\r\n\r\nx`],
+    ['a content length of 0', `GET /orders/7 HTTP/1.1\r\n${HEAD}content-length: 0\r\n\r\n`],
+    ['a GET with a body', `GET /orders/7 HTTP/1.1\r\n${HEAD}content-length: 1\r\n\r\nx`],
     ['a chunked body', `POST /orders/7 HTTP/1.1\r\n${HEAD}transfer-encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n`],
     ['an upgrade', `GET /orders/7 HTTP/1.1\r\n${HEAD}connection: upgrade\r\nupgrade: websocket\r\n\r\n`],
     ['an unusual method', `PURGE /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
-    ['a whole address', `GET http://shop.example/orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
-    ['an expectation', `POST /orders/7 HTTP/1.1\r\n${HEAD}expect: 100-continue\r\ncontent-length: 1\r\n\r\nx`],
-    ['the old protocol', `GET /orders/7 HTTP/1.0\r\n${HEAD}\r\n`],
-    ['a trace', `TRACE /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
-    ['a head only', `HEAD /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
-    ['options of the server', `OPTIONS * HTTP/1.1\r\n${HEAD}\r\n`],
+    ['an absolute URL', `GET http://shop.example/orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
+    ['an Expect header', `POST /orders/7 HTTP/1.1\r\n${HEAD}expect: 100-continue\r\ncontent-length: 1\r\n\r\nx`],
+    ['HTTP 1.0', `GET /orders/7 HTTP/1.0\r\n${HEAD}\r\n`],
+    ['a TRACE request', `TRACE /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
+    ['a HEAD request', `HEAD /orders/7 HTTP/1.1\r\n${HEAD}\r\n`],
+    ['server-wide options', `OPTIONS * HTTP/1.1\r\n${HEAD}\r\n`],
   ])('should all be answered, whatever their heads: %s', async (name, text) => {
     const answer = await rig.send(text, 200);
     expect(answer).toMatch(/^HTTP\/1.1 \d{3} /);
@@ -113,7 +113,7 @@
     const socket = new EventEmitter();
     const response = new EventEmitter();
     const run = vi.fn().mockResolvedValue(undefined);
-    const request = { run, endWithEntry: run, breakOff: run };
+    const request = { run, refuseForShutdown: run, abortAnswer: run };
     const served = open.serve(request, { request: { socket }, response } as never);
     await pause(1);
     response.emit('close');
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -11,7 +11,7 @@
 
 /** A leader that replies by a script and records the messages that it receives. */
 class ScriptedLeader {
-  readonly heard: PlaceNews[] = [];
+  readonly received: PlaceNews[] = [];
 
   private listener: StreamListener<PlaceDecisions> | undefined;
 
@@ -21,7 +21,7 @@
       this.listener = listener;
       return {
         write: (news: PlaceNews) => {
-          this.heard.push(news);
+          this.received.push(news);
           this.script(news, this);
         },
         cancel: () => undefined,
@@ -32,11 +32,11 @@
 
   constructor(private readonly script: Script) {}
 
-  get asked(): string[][] {
-    return this.heard.map(({ requests }) => requests.map(({ placeId }) => placeId));
+  get requestedIds(): string[][] {
+    return this.received.map(({ requests }) => requests.map(({ placeId }) => placeId));
   }
 
-  tell(acknowledged: number, granted: readonly string[] = []): void {
+  sendReply(acknowledged: number, granted: readonly string[] = []): void {
     const replies = granted.map((placeId) => PlaceReply.fromPartial({ placeId, workerId: `for-${placeId}` }));
     this.listener?.take(PlaceDecisions.fromPartial({ acknowledged, replies }));
   }
@@ -47,7 +47,7 @@
 }
 
 const grantAll: Script = ({ number, requests }, leader) => {
-  leader.tell(number, requests.map(({ placeId }) => placeId));
+  leader.sendReply(number, requests.map(({ placeId }) => placeId));
 };
 
 const makeClient = (findLeader: () => ScriptedLeader, entries = 8): PlaceClient => new PlaceClient({
@@ -58,7 +58,7 @@
   logger: makeLogger('test', 'silent'),
 });
 
-const makeAsk = (placeId: string): PlaceRequest => PlaceRequest.fromPartial({ placeId });
+const makeRequest = (placeId: string): PlaceRequest => PlaceRequest.fromPartial({ placeId });
 
 const findDeadline = () => systemClock.now() + 10_000;
 
@@ -71,8 +71,10 @@
     const leader = new ScriptedLeader(grantAll);
     const client = makeClient(() => leader);
     const ids = Array.from({ length: 20 }, (unused, count) => `p${count}`);
-    const replies = await Promise.all(ids.map((id) => client.place(makeAsk(id), findDeadline())));
-    expect(leader.asked).toEqual([ids]);
+    const replies = await Promise.all(
+      ids.map((id) => client.place(makeRequest(id), findDeadline())),
+    );
+    expect(leader.requestedIds).toEqual([ids]);
     expect(replies.map((reply) => reply?.workerId)).toEqual(ids.map((id) => `for-${id}`));
   });
 
@@ -82,34 +84,34 @@
    */
   it('should send a waiting request once, however many others are decided meanwhile', async () => {
     const leader = new ScriptedLeader(({ number, requests }, self) => {
-      self.tell(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
+      self.sendReply(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
     });
     const client = makeClient(() => leader);
-    const waiting = client.place(makeAsk('b'), findDeadline());
-    const others = ['a', 'c', 'd'].map((id) => client.place(makeAsk(id), findDeadline()));
+    const waiting = client.place(makeRequest('b'), findDeadline());
+    const others = ['a', 'c', 'd'].map((id) => client.place(makeRequest(id), findDeadline()));
     await Promise.all(others);
-    await client.place(makeAsk('e'), findDeadline());
-    leader.tell(leader.heard.length, ['b']);
+    await client.place(makeRequest('e'), findDeadline());
+    leader.sendReply(leader.received.length, ['b']);
     expect((await waiting)?.workerId).toBe('for-b');
-    expect(leader.asked.flat().filter((id) => id === 'b')).toHaveLength(1);
+    expect(leader.requestedIds.flat().filter((id) => id === 'b')).toHaveLength(1);
   });
 
   it('should let the entry choose when the leader does not answer', async () => {
     const leader = new ScriptedLeader(() => undefined);
     const client = makeClient(() => leader);
     const from = systemClock.now();
-    const replies = await Promise.all(['a', 'b'].map((id) => client.place(makeAsk(id), findDeadline())));
+    const replies = await Promise.all(['a', 'b'].map((id) => client.place(makeRequest(id), findDeadline())));
     expect(replies).toEqual([undefined, undefined]);
     expect(systemClock.now() - from).toBeLessThan(1_000);
-    expect(await client.place(makeAsk('c'), findDeadline())).toBeUndefined();
-    expect(leader.heard).toHaveLength(1);
+    expect(await client.place(makeRequest('c'), findDeadline())).toBeUndefined();
+    expect(leader.received).toHaveLength(1);
   });
 
   // The leader acknowledged the requests and froze: without a timeout the entry would wait for it.
   it('should let the entry choose when the leader stops answering while requests wait', async () => {
-    const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
+    const leader = new ScriptedLeader(({ number }, self) => self.sendReply(number));
     const client = makeClient(() => leader);
-    expect(await client.place(makeAsk('a'), findDeadline())).toBeUndefined();
+    expect(await client.place(makeRequest('a'), findDeadline())).toBeUndefined();
   });
 
   /*
@@ -120,7 +122,7 @@
     const countMessages = async (entries: number): Promise<number> => {
       const leader = new ScriptedLeader(grantAll);
       const client = makeClient(() => leader, entries);
-      await client.place(makeAsk('a'), findDeadline());
+      await client.place(makeRequest('a'), findDeadline());
       await Array.from({ length: 16 }).reduce<Promise<void>>(async (before) => {
         await before;
         client.report({
@@ -132,8 +134,8 @@
         placeId: 'a', phase: 'ended', paceMs: 0, firstEventMs: 90, outputMs: 800,
       });
       await pause(10);
-      expect(leader.heard.flatMap(({ reports }) => reports)).toHaveLength(17);
-      return leader.heard.length;
+      expect(leader.received.flatMap(({ reports }) => reports)).toHaveLength(17);
+      return leader.received.length;
     };
     const [few, many] = await Promise.all([countMessages(8), countMessages(200)]);
     // The request and its end, and about four messages a second, or one, in between.
@@ -142,30 +144,30 @@
   });
 
   it('should wait as long as the leader sends messages', async () => {
-    const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
+    const leader = new ScriptedLeader(({ number }, self) => self.sendReply(number));
     const client = makeClient(() => leader);
-    const waiting = client.place(makeAsk('a'), findDeadline());
+    const waiting = client.place(makeRequest('a'), findDeadline());
     await [1, 2, 3, 4, 5].reduce(async (before) => {
       await before;
       await pause(100);
-      leader.tell(1);
+      leader.sendReply(1);
     }, Promise.resolve());
-    leader.tell(1, ['a']);
+    leader.sendReply(1, ['a']);
     expect((await waiting)?.workerId).toBe('for-a');
   });
 
   // The leader sends decisions for unknown requests, wrong acknowledgements and duplicates.
   it('should ignore decisions that match no request and still receive its own', async () => {
-    const leader = new ScriptedLeader(({ number }, told) => {
-      told.tell(number + 7, ['unknown', '', '__proto__']);
-      told.tell(-1);
-      told.tell(number, ['p1', 'p1']);
+    const leader = new ScriptedLeader(({ number }, self) => {
+      self.sendReply(number + 7, ['unknown', '', '__proto__']);
+      self.sendReply(-1);
+      self.sendReply(number, ['p1', 'p1']);
     });
     const client = makeClient(() => leader);
-    const reply = await client.place(makeAsk('p1'), findDeadline());
+    const reply = await client.place(makeRequest('p1'), findDeadline());
     expect(reply?.workerId).toBe('for-p1');
     client.close();
-    leader.tell(9, ['p1']);
+    leader.sendReply(9, ['p1']);
     leader.end();
   });
 
@@ -174,15 +176,15 @@
    * stayed taken until the request's deadline, and other requests were refused because of it.
    */
   it('should release a slot that is granted after the request was cancelled', async () => {
-    const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
+    const leader = new ScriptedLeader(({ number }, self) => self.sendReply(number));
     const client = makeClient(() => leader);
-    const asked = client.place(makeAsk('a'), findDeadline());
+    const asked = client.place(makeRequest('a'), findDeadline());
     await pause(10);
     client.cancel('a');
     expect(await asked).toBeUndefined();
-    leader.tell(1, ['a']);
+    leader.sendReply(1, ['a']);
     await pause(10);
-    const phases = leader.heard.flatMap(({ reports }) => reports).map(({ placeId, phase }) => `${placeId} ${phase}`);
+    const phases = leader.received.flatMap(({ reports }) => reports).map(({ placeId, phase }) => `${placeId} ${phase}`);
     expect(new Set(phases)).toEqual(new Set(['a dropped']));
   });
 
@@ -192,24 +194,24 @@
    */
   it('should send waiting requests and the slots in use to the next leader', async () => {
     const first = new ScriptedLeader(({ number, requests }, self) => {
-      self.tell(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
+      self.sendReply(number, requests.map(({ placeId }) => placeId).filter((id) => id !== 'b'));
     });
     const second = new ScriptedLeader(grantAll);
     let leader = first;
     const client = makeClient(() => leader);
-    await client.place(makeAsk('a'), findDeadline());
-    const waiting = client.place(makeAsk('b'), findDeadline());
+    await client.place(makeRequest('a'), findDeadline());
+    const waiting = client.place(makeRequest('b'), findDeadline());
     await pause(10);
     leader = second;
-    await client.place(makeAsk('c'), findDeadline());
+    await client.place(makeRequest('c'), findDeadline());
     expect((await waiting)?.workerId).toBe('for-b');
-    expect(second.heard[0]).toMatchObject({ entryId: 'e1', held: ['a'] });
+    expect(second.received[0]).toMatchObject({ entryId: 'e1', held: ['a'] });
   });
 
   it('should let the entry choose at once when the leader ends the stream', async () => {
-    const leader = new ScriptedLeader(({ number }, self) => self.tell(number));
+    const leader = new ScriptedLeader(({ number }, self) => self.sendReply(number));
     const client = makeClient(() => leader);
-    const asked = client.place(makeAsk('a'), findDeadline());
+    const asked = client.place(makeRequest('a'), findDeadline());
     await pause(10);
     leader.end();
     expect(await asked).toBeUndefined();
@@ -225,12 +227,12 @@
     client.reportCrash({ fingerprint: 'b', ...end });
     await pause(20);
     client.reportServed('b');
-    await client.place(makeAsk('p1'), findDeadline());
+    await client.place(makeRequest('p1'), findDeadline());
     position = 1;
-    await client.place(makeAsk('p2'), findDeadline());
-    const told = leaders.map(({ heard }) => heard.flatMap(({ sightings }) => (
+    await client.place(makeRequest('p2'), findDeadline());
+    const reported = leaders.map(({ received }) => received.flatMap(({ sightings }) => (
       sightings.map(({ fingerprint }) => fingerprint))));
-    expect(told).toEqual([['a', 'b'], ['a']]);
-    expect(leaders[0]?.heard.flatMap(({ served }) => served)).toEqual(['b']);
+    expect(reported).toEqual([['a', 'b'], ['a']]);
+    expect(leaders[0]?.received.flatMap(({ served }) => served)).toEqual(['b']);
   });
 });
--- a/tests/relay/relay-shutdown.spec.ts
+++ b/tests/relay/relay-shutdown.spec.ts
@@ -21,7 +21,7 @@
 // ended was neither awaited nor counted as new. It was refused with most of the grace period left.
 it('should wait for a request that arrives as the entry becomes idle', async () => {
   const openRequests = new OpenRequests({ open: { inc: vi.fn(), dec: vi.fn() } as never });
-  const request = { run: () => pause(RUN_MS), endWithEntry: vi.fn(), breakOff: vi.fn() };
+  const request = { run: () => pause(RUN_MS), refuseForShutdown: vi.fn(), abortAnswer: vi.fn() };
   const waitIdle = openRequests.waitIdle.bind(openRequests);
   const serving: Promise<void>[] = [];
   vi.spyOn(openRequests, 'waitIdle').mockImplementationOnce(async (mostMs) => {
@@ -38,7 +38,7 @@
     clock: systemClock,
     logger: makeLogger('relay', 'silent'),
   }).run();
-  expect(request.endWithEntry).not.toHaveBeenCalled();
-  expect(request.breakOff).not.toHaveBeenCalled();
+  expect(request.refuseForShutdown).not.toHaveBeenCalled();
+  expect(request.abortAnswer).not.toHaveBeenCalled();
   await Promise.all(serving);
 });
--- a/tests/relay/resting-servers-site.spec.ts
+++ b/tests/relay/resting-servers-site.spec.ts
@@ -13,7 +13,7 @@
 const GAP_MS = 25;
 const REST_MS = 2_500;
 /** Most requests of an entry that may reach a server within a backoff. */
-const MOST_IN_REST = 2;
+const MAX_IN_BACKOFF = 2;
 /** Result codes of an entry that knows no usable server. */
 const REFUSED_CODES = ['backendsResting', 'noBackend'];
 /** Time after an answer in which requests that were in flight may still arrive, in milliseconds. */
@@ -69,7 +69,7 @@
       new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS)));
     const answers = await sendInTurn(await start(...servers));
     expect(Math.max(...servers.map(({ mostInRest }) => mostInRest)))
-      .toBeLessThanOrEqual(MOST_IN_REST);
+      .toBeLessThanOrEqual(MAX_IN_BACKOFF);
     const refused = answers.filter(({ code }) => code === 'backendsResting');
     expect(refused.length).toBeGreaterThan(SENDS / 2);
     expect(refused.filter(({ retryMs }) => retryMs === 0)).toEqual([]);
--- a/tests/relay/slow-servers.spec.ts
+++ b/tests/relay/slow-servers.spec.ts
@@ -116,7 +116,7 @@
   it('should wait for the server if it may no longer be repeated once it gets another slot', async () => {
     await start(engines, answerLate, answerAtOnce);
     placeFirst(({ placeId }) => {
-      vi.spyOn(RequestGuard.prototype, 'isFree', 'get').mockReturnValue(false);
+      vi.spyOn(RequestGuard.prototype, 'isUnsuspected', 'get').mockReturnValue(false);
       return Promise.resolve(PlaceReply.fromPartial({ placeId, workerId: 'w1' }));
     });
     expect(await callShop()).toMatch(/^HTTP\/1.1 200 [^]*late$/);
--- a/tests/relay/stopping-connections.spec.ts
+++ b/tests/relay/stopping-connections.spec.ts
@@ -11,7 +11,7 @@
 import type { StoppingRoute } from '../fakes/stoppingRoutes';
 
 /** Longer than an entry that shuts down waits for another request. */
-const HELD_UP_MS = 400;
+const BLOCKED_MS = 400;
 
 let site: StoppingSite;
 
@@ -22,7 +22,7 @@
 const { askFor, makeRequest } = makeStoppingCalls(() => site);
 
 /** Blocks this process, as a busy or paused machine does. */
-const holdUp = (ms: number): void => {
+const suspendProcess = (ms: number): void => {
   const until = performance.now() + ms;
   while (performance.now() < until);
 };
@@ -44,7 +44,7 @@
     // The event loop runs timers next, and reads sockets after them.
     await endTurn();
     const asked = askFor('brief', {}, kept);
-    holdUp(HELD_UP_MS);
+    suspendProcess(BLOCKED_MS);
     const next = await asked;
     if (next.answer?.status !== 200) checkRefused(next);
     await stopping;
--- a/tests/relay/watch-stream.spec.ts
+++ b/tests/relay/watch-stream.spec.ts
@@ -11,8 +11,12 @@
 
 type Stream = StreamEnd<WatchRequest, WatchReply>;
 
-const ask = (line: WatchStream, revision: number, timeoutMs = 2_000): Promise<WatchReply> => (
-  line.sendRequest(WatchRequest.fromPartial({ workersRevision: revision }), timeoutMs));
+const ask = (
+  watchStream: WatchStream,
+  revision: number,
+  timeoutMs = 2_000,
+): Promise<WatchReply> => (
+  watchStream.sendRequest(WatchRequest.fromPartial({ workersRevision: revision }), timeoutMs));
 
 describe('WatchStream', () => {
   let server: RpcServer | undefined;
@@ -38,10 +42,10 @@
   });
 
   it('should send several requests over one stream', async () => {
-    const line = await listen((stream, { workersRevision }) => (
+    const watchStream = await listen((stream, { workersRevision }) => (
       stream.send(WatchReply.fromPartial({ workersRevision }))));
-    expect((await ask(line, 3)).workersRevision).toBe(3);
-    expect((await ask(line, 4)).workersRevision).toBe(4);
+    expect((await ask(watchStream, 3)).workersRevision).toBe(3);
+    expect((await ask(watchStream, 4)).workersRevision).toBe(4);
   });
 
   /*
@@ -50,13 +54,13 @@
    */
   it('should end after a request that is not answered in time and ignore its late reply', async () => {
     let frozen: Stream | undefined;
-    const line = await listen((stream, { workersRevision }) => {
+    const watchStream = await listen((stream, { workersRevision }) => {
       if (workersRevision === 1) frozen = stream;
       else stream.send(WatchReply.fromPartial({ workersRevision }));
     });
-    await expect(ask(line, 1, 100)).rejects.toThrow('no answer within 100 ms');
-    expect(line.isOpen).toBe(false);
-    await expect(ask(line, 2)).rejects.toThrow('no answer within 100 ms');
+    await expect(ask(watchStream, 1, 100)).rejects.toThrow('no answer within 100 ms');
+    expect(watchStream.isOpen).toBe(false);
+    await expect(ask(watchStream, 2)).rejects.toThrow('no answer within 100 ms');
     const next = new WatchStream(link as RpcLink<SiteClient>);
     const answer = ask(next, 5);
     frozen?.send(WatchReply.fromPartial({ workersRevision: 1 }));
@@ -64,8 +68,8 @@
   });
 
   it('should reject the pending request when the replica ends the stream', async () => {
-    const line = await listen((stream) => stream.end());
-    await expect(ask(line, 1)).rejects.toThrow();
-    expect(line.isOpen).toBe(false);
+    const watchStream = await listen((stream) => stream.end());
+    await expect(ask(watchStream, 1)).rejects.toThrow();
+    expect(watchStream.isOpen).toBe(false);
   });
 });
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -39,7 +39,7 @@
   return site;
 };
 
-const makePick = (isOver: () => boolean, noteWaiting: (cancel: () => void) => void) => ({
+const makePick = (isAbandoned: () => boolean, onWaiting: (cancel: () => void) => void) => ({
   admitted: {
     route: makeRoute({}), service: 'rooms', account: undefined, rank: 0, version: 1,
   },
@@ -48,9 +48,9 @@
   },
   deadlineAt: 5_000,
   tried: [],
-  guard: { fingerprint: '', isFree: true },
-  isOver,
-  noteWaiting,
+  guard: { fingerprint: '', isUnsuspected: true },
+  isAbandoned,
+  onWaiting,
 });
 
 const routing = makeRouting({
@@ -71,11 +71,11 @@
   });
 };
 
-const askForRest = (site: RelaySite, workerId: string, restMs: number): void => (
+const askForBackoff = (site: RelaySite, workerId: string, restMs: number): void => (
   noteNotice(site, workerId, { restMs, isLeaving: false }));
 
 /** A leader that grants a slot at the same server for every request. */
-class StubbornLeader {
+class FixedLeader {
   readonly reports: PlacedReport[] = [];
 
   readonly avoided: string[][] = [];
@@ -99,7 +99,7 @@
    */
   it('should not use a leaving server that the leader does not know to be leaving', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'draining'), makeRecord('w2', 'ready')]);
-    const leader = new StubbornLeader('w1');
+    const leader = new FixedLeader('w1');
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
     const picked = await picker.pick(makePick(() => false, () => undefined));
     expect([picked?.worker.id, picked?.placeId]).toEqual(['w2', '']);
@@ -136,8 +136,8 @@
   // The leader may grant slots at a server that asked this entry for a backoff.
   it('should not use a slot at a server that asked for a backoff', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
-    const leader = new StubbornLeader('w1');
-    askForRest(site, 'w1', 3_000);
+    const leader = new FixedLeader('w1');
+    askForBackoff(site, 'w1', 3_000);
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
     const picked = await picker.pick(makePick(() => false, () => undefined));
     expect(picked?.worker.id).toBe('w2');
@@ -148,8 +148,8 @@
   // Callers must not wait for a slot that this entry would not use.
   it('should request no slot if all engines asked for a backoff', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
-    const leader = new StubbornLeader('w1');
-    askForRest(site, 'w1', 3_000);
+    const leader = new FixedLeader('w1');
+    askForBackoff(site, 'w1', 3_000);
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
     await expect(picker.pick(makePick(() => false, () => undefined)))
       .rejects.toMatchObject({ run: 'notRun' });
@@ -159,7 +159,7 @@
   // The leader may learn that a server is leaving later than its entries do.
   it('should not use a slot at a server that reported that it is leaving', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
-    const leader = new StubbornLeader('w1');
+    const leader = new FixedLeader('w1');
     noteNotice(site, 'w1', { restMs: 0, isLeaving: true });
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
     const picked = await picker.pick(makePick(() => false, () => undefined));
@@ -171,8 +171,8 @@
   // The second request must not wait at the leader once another one used up the backoff's probes.
   it('should refuse the other requests at once when the slot of a server that is backing off is taken', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready')]);
-    const leader = new StubbornLeader('w1');
-    askForRest(site, 'w1', 3_000);
+    const leader = new FixedLeader('w1');
+    askForBackoff(site, 'w1', 3_000);
     const picker = new WorkerPicker({
       site, placeClient: leader as unknown as PlaceClient, clock: { now: () => 1_500 },
     });
