--- a/src/relay/leaseWait.ts
+++ b/src/relay/leaseWait.ts
@@ -17,7 +17,7 @@
  * @example
  * await site.waitServing(computeLeaseWaitMs(facts));
  */
-export const computeLeaseWaitMs = ({ patienceMs }: RequestFacts): number => Math.min(
+export const computeLeaseWaitMs = ({ maxWaitMs }: RequestFacts): number => Math.min(
   MAX_LEASE_WAIT_MS,
-  Math.max(MIN_LEASE_WAIT_MS, LEASE_WAIT_FRACTION * (patienceMs ?? Infinity)),
+  Math.max(MIN_LEASE_WAIT_MS, LEASE_WAIT_FRACTION * (maxWaitMs ?? Infinity)),
 );
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -25,12 +25,12 @@
 export const canAnswerInTime = (
   site: RelaySite,
   { service, route }: AdmittedRequest,
-  { tokens, patienceMs }: RequestFacts,
+  { tokens, maxWaitMs }: RequestFacts,
   picked?: PickedWorker,
 ): boolean => {
   if (!site.isLeaving) return true;
   const { remainingMs } = site;
-  if (Math.min(route.timeoutMs, patienceMs ?? Infinity) <= remainingMs) return true;
+  if (Math.min(route.timeoutMs, maxWaitMs ?? Infinity) <= remainingMs) return true;
   if (!tokens) return false;
   const size = { service, promptTokens: tokens.prompt, outputTokens: tokens.output };
   return canFinishWithin(site.workers, size, remainingMs, picked?.worker);
--- a/src/relay/requestDialect.ts
+++ b/src/relay/requestDialect.ts
@@ -17,7 +17,7 @@
   /** The caller's id of this attempt; empty if it sent none. */
   readonly requestId: string;
   /** How long the caller will wait, in milliseconds; undefined if it sent no limit. */
-  readonly patienceMs: number | undefined;
+  readonly maxWaitMs: number | undefined;
   /** The caller's key; empty if it sent none. */
   readonly key: string;
   /** Undefined if the caller sent none. */
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -118,8 +118,8 @@
     const admitted = admitRequest(site, this.facts, host, this.target, Math.random());
     this.admitted = admitted;
     const { route } = admitted;
-    const patienceMs = Math.min(route.timeoutMs, this.facts.patienceMs ?? Infinity);
-    this.deadlineAt = this.receivedAt + patienceMs;
+    const maxWaitMs = Math.min(route.timeoutMs, this.facts.maxWaitMs ?? Infinity);
+    this.deadlineAt = this.receivedAt + maxWaitMs;
     this.writer = this.makeWriter(pickAnswerMode(route));
     const limits = site.table?.routing.limits;
     const body = await readRequestBody(this.request, limits?.bodyBytes ?? 0);
--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -26,7 +26,7 @@
 export const testDialect: RequestDialect = {
   readRequest: (headers) => ({
     requestId: findHeader(headers, 'x-id') ?? '',
-    patienceMs: Number(findHeader(headers, 'x-patience') ?? 5_000),
+    maxWaitMs: Number(findHeader(headers, 'x-patience') ?? 5_000),
     key: findHeader(headers, 'x-key') ?? '',
     tokens: undefined,
   }),
--- a/tests/platform/platform-words.spec.ts
+++ b/tests/platform/platform-words.spec.ts
@@ -78,19 +78,19 @@
 
   it('should tell id, patience, key and tokens', () => {
     expect(platformDialect.readRequest(headers)).toEqual({
-      requestId: '9c41', patienceMs: 15000, key: 'k1', tokens: { prompt: 1460, output: 80, expected: 80 },
+      requestId: '9c41', maxWaitMs: 15000, key: 'k1', tokens: { prompt: 1460, output: 80, expected: 80 },
     });
   });
 
   it.each([
     [[], {
-      requestId: '', patienceMs: undefined, key: '', tokens: undefined,
+      requestId: '', maxWaitMs: undefined, key: '', tokens: undefined,
     }],
     [['Deadline-Ms', 'soon', 'Token-Count', 'x', 'Authorization', 'Basic k1'], {
-      requestId: '', patienceMs: undefined, key: '', tokens: undefined,
+      requestId: '', maxWaitMs: undefined, key: '', tokens: undefined,
     }],
     [['Token-Count', '12'], {
-      requestId: '', patienceMs: undefined, key: '', tokens: { prompt: 12, output: 0, expected: 0 },
+      requestId: '', maxWaitMs: undefined, key: '', tokens: { prompt: 12, output: 0, expected: 0 },
     }],
   ])('should make nothing of what cannot be read: %j', (raw, expected) => {
     expect(platformDialect.readRequest(raw)).toEqual(expected);
