--- a/src/relay/attemptOutcome.ts
+++ b/src/relay/attemptOutcome.ts
@@ -78,13 +78,13 @@
     return headOutcome;
   }
   if (headOutcome?.kind === 'failed') {
-    tracker.recordAnswer(true);
+    tracker.recordResult(true);
     return headOutcome;
   }
   if (callOutcome.kind === 'complete') {
     clearSuspension(worker);
     writer.end();
-    tracker.recordAnswer(writer.statusCode >= SERVER_ERROR);
+    tracker.recordResult(writer.statusCode >= SERVER_ERROR);
     return { kind: 'answered' };
   }
   if (writer.isFinished) return { kind: 'dropped', reason: 'the deadline passed or the caller disconnected' };
--- a/src/relay/attemptTracker.ts
+++ b/src/relay/attemptTracker.ts
@@ -107,7 +107,7 @@
   }
 
   /** Updates the statistics of the server with an answer that was received. */
-  recordAnswer(failed: boolean): void {
+  recordResult(failed: boolean): void {
     const {
       site, clock, isStream, picked,
     } = this.parts;
--- a/src/relay/callerConnections.ts
+++ b/src/relay/callerConnections.ts
@@ -36,7 +36,7 @@
  * seems to be exceeded is therefore checked again after that input was read.
  *
  * @example
- * server.on('request', ({ socket }, response) => callers.noteRequest(socket, response));
+ * server.on('request', ({ socket }, response) => callers.registerRequest(socket, response));
  * server.on('timeout', (socket) => callers.closeIdle(socket));
  */
 export class CallerConnections {
--- a/src/relay/upstreamCall.ts
+++ b/src/relay/upstreamCall.ts
@@ -41,7 +41,7 @@
  *
  * @example
  * const call = new UpstreamCall(connection, listener);
- * const end = await call.run(request);
+ * const outcome = await call.run(request);
  */
 export class UpstreamCall {
   /** Whether bytes of the request may have been sent. */
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -7,7 +7,7 @@
 import { systemClock } from '../../src/utils/clock';
 import type { RpcLink, StreamListener } from '../../src/wire/rpcLink';
 
-type Script = (news: PlaceNews, leader: ScriptedLeader) => void;
+type Script = (message: PlaceNews, leader: ScriptedLeader) => void;
 
 /** A leader that replies by a script and records the messages that it receives. */
 class ScriptedLeader {
@@ -20,9 +20,9 @@
     openStream: (unused: unknown, listener: StreamListener<PlaceDecisions>) => {
       this.listener = listener;
       return {
-        write: (news: PlaceNews) => {
-          this.received.push(news);
-          this.script(news, this);
+        write: (message: PlaceNews) => {
+          this.received.push(message);
+          this.script(message, this);
         },
         cancel: () => undefined,
         suspect: () => undefined,
--- a/tests/relay/relay-shutdown.spec.ts
+++ b/tests/relay/relay-shutdown.spec.ts
@@ -24,8 +24,8 @@
   const request = { run: () => pause(RUN_MS), refuseForShutdown: vi.fn(), abortAnswer: vi.fn() };
   const waitIdle = openRequests.waitIdle.bind(openRequests);
   const serving: Promise<void>[] = [];
-  vi.spyOn(openRequests, 'waitIdle').mockImplementationOnce(async (mostMs) => {
-    await waitIdle(mostMs);
+  vi.spyOn(openRequests, 'waitIdle').mockImplementationOnce(async (maxMs) => {
+    await waitIdle(maxMs);
     serving.push(openRequests.serve(request, WRITTEN));
   });
   await new RelayShutdown({
--- a/tests/relay/stopping-entry.spec.ts
+++ b/tests/relay/stopping-entry.spec.ts
@@ -63,13 +63,13 @@
   it.each<[string, Headers]>([
     ['that is not sent', {}],
     ['that is sent', { [TOKENS_HEADER]: LONG_EVENTS }],
-  ])('should be refused as not run if no pace was measured, with a length %s', async (name, told) => {
+  ])('should be refused as not run if no pace was measured, with a length %s', async (name, lengthHeaders) => {
     await start();
     const kept = await site.open();
     checkStatus(await askFor('brief', {}, kept), 200);
     const stopping = site.stop();
     await pause(REACH_MS);
-    const headers = { ...told, 'x-form': 'stream', 'x-lasts': LONG_MS };
+    const headers = { ...lengthHeaders, 'x-form': 'stream', 'x-lasts': LONG_MS };
     checkRefused(await askFor('stream', headers, kept));
     await stopping;
   });
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -57,7 +57,7 @@
   services: [{ name: 'rooms', maxConnections: 0, isEngine: true }], accounts: [],
 });
 
-const noteNotice = (
+const reportNotice = (
   site: RelaySite,
   workerId: string,
   notice: Pick<WorkerNotice, 'restMs' | 'isLeaving'>,
@@ -72,7 +72,7 @@
 };
 
 const askForBackoff = (site: RelaySite, workerId: string, restMs: number): void => (
-  noteNotice(site, workerId, { restMs, isLeaving: false }));
+  reportNotice(site, workerId, { restMs, isLeaving: false }));
 
 /** A leader that grants a slot at the same server for every request. */
 class FixedLeader {
@@ -160,7 +160,7 @@
   it('should not use a slot at a server that reported that it is leaving', async () => {
     const site = makeSite(routing, [makeRecord('w1', 'ready'), makeRecord('w2', 'ready')]);
     const leader = new FixedLeader('w1');
-    noteNotice(site, 'w1', { restMs: 0, isLeaving: true });
+    reportNotice(site, 'w1', { restMs: 0, isLeaving: true });
     const picker = new WorkerPicker({ site, placeClient: leader as unknown as PlaceClient, clock });
     const picked = await picker.pick(makePick(() => false, () => undefined));
     expect(picked?.worker.id).toBe('w2');
