--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -9,7 +9,7 @@
 interface TrackedEntry {
   /** Its last report, without its loads. */
   readonly record: EntryRecord;
-  receivedAt: number;
+  lastSeenAt: number;
   /** Whether it sent a request recently, so that it accepts callers and its loads count. */
   isResponsive: boolean;
 }
@@ -65,7 +65,7 @@
       id: entryId, callerAddress, zone, state,
     };
     this.isListStale ||= !previous?.isResponsive || !isSame(previous.record, record);
-    this.entries.set(entryId, { record, receivedAt: now, isResponsive: true });
+    this.entries.set(entryId, { record, lastSeenAt: now, isResponsive: true });
     this.loads.set(entryId, request.loads);
   }
 
@@ -85,7 +85,7 @@
   /** Whether an entry sent a request recently and was not replaced by another process. */
   has(entryId: string, now: number): boolean {
     const entry = this.entries.get(entryId);
-    return entry !== undefined && now - entry.receivedAt <= ENTRY_TIMEOUT_MS;
+    return entry !== undefined && now - entry.lastSeenAt <= ENTRY_TIMEOUT_MS;
   }
 
   /** Sums the loads of all entries but one at each backend server. */
@@ -117,7 +117,7 @@
     this.lastExpiryAt = now;
     const timeoutMs = computeEntryTimeoutMs(this.entries.size);
     this.entries.forEach((entry, id) => {
-      const silentMs = now - entry.receivedAt;
+      const silentMs = now - entry.lastSeenAt;
       if (silentMs > this.leaseMs) this.remove(id);
       else if (entry.isResponsive && silentMs > timeoutMs) this.markUnresponsive(id, entry);
     });
--- a/src/control/replicaSetManager.ts
+++ b/src/control/replicaSetManager.ts
@@ -20,7 +20,7 @@
 export class ReplicaSetManager {
   private readonly joinRequests = new JoinRequests();
 
-  private readonly receivedAt = new Map<string, number>();
+  private readonly lastSeenAt = new Map<string, number>();
 
   /** @param voterCount target number of voters of the site */
   constructor(
@@ -31,7 +31,7 @@
 
   /** Records that a message of a replica arrived. */
   recordMessage(id: string): void {
-    this.receivedAt.set(id, this.clock.now());
+    this.lastSeenAt.set(id, this.clock.now());
   }
 
   /** Records that a replica asked to join the site. */
@@ -71,12 +71,12 @@
     now: number,
   ): string[] {
     const ids = [...replicas.voters, ...replicas.learners].map(({ id }) => id);
-    ids.filter((id) => !this.receivedAt.has(id)).forEach((id) => this.receivedAt.set(id, now));
+    ids.filter((id) => !this.lastSeenAt.has(id)).forEach((id) => this.lastSeenAt.set(id, now));
     return ids
       .filter((id) => id !== ownId)
       .filter((id) => {
-        const receivedAt = Math.max(leadingSince, this.receivedAt.get(id) ?? now);
-        return now - receivedAt > REPLICA_TIMEOUT_MS;
+        const lastSeenAt = Math.max(leadingSince, this.lastSeenAt.get(id) ?? now);
+        return now - lastSeenAt > REPLICA_TIMEOUT_MS;
       });
   }
 
