--- a/src/manifest/checkManifest.ts
+++ b/src/manifest/checkManifest.ts
@@ -9,20 +9,20 @@
 
 type Rule = (manifest: Manifest, previous?: Manifest) => ManifestFault[];
 
-const MAX_HEADROOM = 0.9;
+const MAX_TOTAL_HEADROOM = 0.9;
 
-const listMissing = (
+const findUndefined = (
   names: readonly string[],
-  known: object,
+  definitions: object,
   path: string,
   kind: string,
 ): ManifestFault[] => names
-  .filter((name) => !Object.hasOwn(known, name))
+  .filter((name) => !Object.hasOwn(definitions, name))
   .map((name) => ({ code: 'danglingName', path, message: `${kind} "${name}" is not defined` }));
 
 const checkAccountTiers: Rule = ({ accounts, tiers }, previous) => Object.entries(accounts)
   .flatMap(
-    ([name, account]) => listMissing(account.tiers, tiers, `/accounts/${name}/tiers`, 'tier'),
+    ([name, account]) => findUndefined(account.tiers, tiers, `/accounts/${name}/tiers`, 'tier'),
   )
   .map((fault) => {
     const removed = Object.keys(previous?.tiers ?? {}).some(
@@ -33,34 +33,34 @@
 
 const checkPoolNames: Rule = ({ pools, models, services }) => Object.entries(pools)
   .flatMap(([name, pool]) => [
-    ...listMissing(pool.models, models, `/pools/${name}/models`, 'model'),
-    ...listMissing(pool.services, services, `/pools/${name}/services`, 'service'),
+    ...findUndefined(pool.models, models, `/pools/${name}/models`, 'model'),
+    ...findUndefined(pool.services, services, `/pools/${name}/services`, 'service'),
   ]);
 
-const checkCarried: Rule = ({ pools, models, services }) => {
+const checkServingPools: Rule = ({ pools, models, services }) => {
   const workers = Object.values(pools).filter(({ role }) => role === 'worker');
-  const carriedModels = new Set(workers.flatMap((pool) => pool.models));
-  const carriedServices = new Set(workers.flatMap((pool) => pool.services));
-  const findUncarried = (
+  const offeredModels = new Set(workers.flatMap((pool) => pool.models));
+  const offeredServices = new Set(workers.flatMap((pool) => pool.services));
+  const findUnserved = (
     names: string[],
-    carried: Set<string>,
+    offered: Set<string>,
     section: string,
   ): ManifestFault[] => names
-    .filter((name) => !carried.has(name))
+    .filter((name) => !offered.has(name))
     .map((name) => ({
       code: 'uncarriedModel', path: `/${section}/${name}`, message: 'no pool with role "worker" carries it',
     }));
   return [
-    ...findUncarried(Object.keys(models), carriedModels, 'models'),
-    ...findUncarried(Object.keys(services), carriedServices, 'services'),
+    ...findUnserved(Object.keys(models), offeredModels, 'models'),
+    ...findUnserved(Object.keys(services), offeredServices, 'services'),
   ];
 };
 
 const checkHeadroom: Rule = ({ tiers }) => {
   const total = Object.values(tiers).reduce((sum, { headroom }) => sum + headroom, 0);
-  if (total <= MAX_HEADROOM) return [];
+  if (total <= MAX_TOTAL_HEADROOM) return [];
   return [{
-    code: 'headroomAboveCapacity', path: '/tiers', message: `headroom adds up to ${total.toFixed(2)}, at most ${MAX_HEADROOM} is allowed`,
+    code: 'headroomAboveCapacity', path: '/tiers', message: `headroom adds up to ${total.toFixed(2)}, at most ${MAX_TOTAL_HEADROOM} is allowed`,
   }];
 };
 
@@ -86,7 +86,7 @@
 };
 
 const checkMigration: Rule = ({ migration, accounts, tiers }) => Object.entries(migration)
-  .flatMap(([name, item]) => listMissing(
+  .flatMap(([name, item]) => findUndefined(
     [name],
     item.of === 'account' ? accounts : tiers,
     `/migration/${name}`,
@@ -109,7 +109,7 @@
 const rules: readonly Rule[] = [
   checkAccountTiers,
   checkPoolNames,
-  checkCarried,
+  checkServingPools,
   checkHeadroom,
   checkRanks,
   checkKeys,
@@ -117,9 +117,9 @@
   checkQueueBound,
 ];
 
-const validateForm = buildValidator(manifestSchema);
+const validateDocument = buildValidator(manifestSchema);
 
-const refuse = (faults: ManifestFault[]): CheckedManifest => ({ manifest: undefined, faults });
+const rejectManifest = (faults: ManifestFault[]): CheckedManifest => ({ manifest: undefined, faults });
 
 /**
  * Parses and checks a manifest, with every fault in one answer.
@@ -133,13 +133,13 @@
   try {
     document = JSON.parse(text);
   } catch (thrown) {
-    return refuse([{ code: 'manifestMalformed', path: '/', message: (thrown as Error).message }]);
+    return rejectManifest([{ code: 'manifestMalformed', path: '/', message: (thrown as Error).message }]);
   }
-  const formFaults = validateForm(document);
-  if (formFaults.length > 0) {
-    return refuse(formFaults.map((fault) => ({ code: 'manifestInvalid', ...fault })));
+  const schemaFaults = validateDocument(document);
+  if (schemaFaults.length > 0) {
+    return rejectManifest(schemaFaults.map((fault) => ({ code: 'manifestInvalid', ...fault })));
   }
   const manifest = document as Manifest;
   const faults = rules.flatMap((rule) => rule(manifest, previous));
-  return faults.length > 0 ? refuse(faults) : { manifest, faults: [] };
+  return faults.length > 0 ? rejectManifest(faults) : { manifest, faults: [] };
 };
--- a/src/manifest/checkRouting.ts
+++ b/src/manifest/checkRouting.ts
@@ -2,12 +2,12 @@
 
 type Rule = (routing: Routing) => string[];
 
-const findRepeated = (names: readonly string[]): string[] => {
+const findDuplicates = (names: readonly string[]): string[] => {
   const seen = new Set<string>();
   return names.filter((name) => {
-    const known = seen.has(name);
+    const isDuplicate = seen.has(name);
     seen.add(name);
-    return known;
+    return isDuplicate;
   });
 };
 
@@ -18,10 +18,10 @@
     .map(({ service }) => `route "${name}" names service "${service}", which is not defined`));
 };
 
-const formatPlace = ({ host, pathPrefix }: Route): string => `${host}${pathPrefix}`;
+const formatHostAndPrefix = ({ host, pathPrefix }: Route): string => `${host}${pathPrefix}`;
 
-const checkPlaces: Rule = ({ routes }) => findRepeated(routes.map(formatPlace))
-  .map((place) => `two routes share host and prefix "${place}"`);
+const checkHostsAndPrefixes: Rule = ({ routes }) => findDuplicates(routes.map(formatHostAndPrefix))
+  .map((hostAndPrefix) => `two routes share host and prefix "${hostAndPrefix}"`);
 
 const checkWeights: Rule = ({ routes }) => routes
   .filter(({ targets }) => targets.reduce((sum, { weight }) => sum + weight, 0) <= 0)
@@ -45,7 +45,7 @@
 };
 
 const rules: readonly Rule[] = [
-  checkServices, checkPlaces, checkWeights, checkTimeouts, checkPrefixes, checkKeys,
+  checkServices, checkHostsAndPrefixes, checkWeights, checkTimeouts, checkPrefixes, checkKeys,
 ];
 
 /**
--- a/src/manifest/manifestDelta.ts
+++ b/src/manifest/manifestDelta.ts
@@ -48,17 +48,17 @@
 type Draft = Record<string, unknown>;
 
 /** Copies a section before its first change, so that the base stays as it is. */
-const openSection = (draft: Draft, base: Section, section: string): Draft => {
+const copySection = (draft: Draft, base: Section, section: string): Draft => {
   if (draft[section] === base[section]) draft[section] = { ...(base[section] as Section) };
   return draft[section] as Draft;
 };
 
 const applyChange = (draft: Draft, base: Section, change: SectionChange): void => {
   const { section, name, value } = change;
-  const holder = name === '' ? draft : openSection(draft, base, section);
+  const parent = name === '' ? draft : copySection(draft, base, section);
   const field = name === '' ? section : name;
-  if (value === '') delete holder[field];
-  else holder[field] = JSON.parse(value);
+  if (value === '') delete parent[field];
+  else parent[field] = JSON.parse(value);
 };
 
 /**
--- a/src/manifest/routing.ts
+++ b/src/manifest/routing.ts
@@ -80,8 +80,8 @@
 }
 
 /** What comes of reading a document: the routing, or every fault found in it. */
-export type ReadRouting = | { readonly routing: Routing; readonly faults: readonly [] }
+export type DecodedRouting = | { readonly routing: Routing; readonly faults: readonly [] }
   | { readonly routing: undefined; readonly faults: readonly string[] };
 
 /** Reads the text of a document into a routing; the form of the text is the site's own. */
-export type RoutingReader = (document: string) => ReadRouting;
+export type RoutingReader = (document: string) => DecodedRouting;
--- a/src/settings/settingsFile.ts
+++ b/src/settings/settingsFile.ts
@@ -44,8 +44,8 @@
     private readonly path: string,
     private readonly parseText: (text: string) => Settings,
     /** Hears of a change that cannot be used; the settings before stay in force. */
-    private readonly noteFault: (error: unknown) => void,
-    private readonly noteChange: () => void,
+    private readonly handleError: (error: unknown) => void,
+    private readonly handleReload: () => void,
   ) {
     this.text = this.read();
     this.current = parseText(this.text);
@@ -59,9 +59,9 @@
       // A text that cannot be used is reported once, not at each look.
       this.text = text;
       this.current = this.parseText(text);
-      this.noteChange();
+      this.handleReload();
     } catch (error) {
-      this.noteFault(error);
+      this.handleError(error);
     }
   }
 
--- a/tests/platform/deploy.spec.ts
+++ b/tests/platform/deploy.spec.ts
@@ -9,7 +9,7 @@
 }
 
 /** VMs with a disk by availability zone, and how many of them a site must bear to lose at once. */
-const SHAPES = [
+const DEPLOYMENTS = [
   { zones: [2, 2, 1], losses: 1 },
   { zones: [2, 1, 1, 1], losses: 1 },
   { zones: [3, 3, 3], losses: 2 },
@@ -25,7 +25,7 @@
    * two of them lost nobody leads, no change is accepted, and after some seconds no entry serves.
    * A change that two of three have synced is gone with their disks. Five replicas bear both.
    */
-  it.each(SHAPES)('should start enough control replicas for $losses losses of $zones', ({ zones, losses }) => {
+  it.each(DEPLOYMENTS)('should start enough control replicas for $losses losses of $zones', ({ zones, losses }) => {
     const { roles } = parse(readFileSync('deploy/system.toml', 'utf8')) as unknown as { roles: Record<string, Role> };
     const control = roles.control as Role;
     const replicas = zones.reduce((sum, vms) => sum + countReplicas(control, vms), 0);
--- a/tests/platform/platform-words.spec.ts
+++ b/tests/platform/platform-decoding.spec.ts
@@ -4,7 +4,7 @@
   buildPeerAddress, listSeeds, parseControlSettings, parseRelaySettings,
 } from '../../platform/platformSettings';
 import { readRoutingDocument } from '../../platform/routingDocument';
-import { decodeFarewell, decodeHeartbeat } from '../../platform/workerCalls';
+import { decodeDeregistration, decodeHeartbeat } from '../../platform/workerCalls';
 
 const makeDocument = (changes: object = {}): Record<string, unknown> => ({
   version: 7,
@@ -105,10 +105,10 @@
 
   // A caller sends headers that are the system's to set, and would be admitted before all others.
   it('should pass on what is the caller\'s, and set what is ours whatever the caller sent', () => {
-    const passed = platformDialect.buildRequestHeaders(headers, {
+    const forwarded = platformDialect.buildRequestHeaders(headers, {
       workerId: 'i-7', account: { name: 'n' } as never, remainingMs: 14_200, lastEventId: '',
     });
-    const text = passed.join('|');
+    const text = forwarded.join('|');
     expect(text).not.toMatch(/forged|Bearer|k1|Pin-Ms|X-Hop|keep-alive|15000/);
     expect(text).toMatch(/X-Own\|kept/);
     expect(text).toMatch(/Last-Event-Id\|3/);
@@ -118,25 +118,25 @@
   });
 
   it('should name the last event that a caller has where a stream goes on', () => {
-    const passed = platformDialect.buildRequestHeaders(headers, {
+    const forwarded = platformDialect.buildRequestHeaders(headers, {
       workerId: 'i-7', account: undefined, remainingMs: 1, lastEventId: '12',
     });
-    expect(passed.filter((item) => item === 'Last-Event-Id')).toHaveLength(1);
-    expect(passed.join('|')).toMatch(/Last-Event-Id\|12/);
-    expect(passed.join('|')).not.toMatch(/Tenant/);
+    expect(forwarded.filter((item) => item === 'Last-Event-Id')).toHaveLength(1);
+    expect(forwarded.join('|')).toMatch(/Last-Event-Id\|12/);
+    expect(forwarded.join('|')).not.toMatch(/Tenant/);
   });
 });
 
 describe('what backend servers say on the platform', () => {
   it('should be decoded into an announcement', () => {
-    const said = decodeHeartbeat('i-7', Buffer.from(JSON.stringify({
+    const announcement = decodeHeartbeat('i-7', Buffer.from(JSON.stringify({
       service: 's', address: '10.0.0.9:80', zone: 'a', version: 'v1', slots: 7, state: 'draining', cold_remaining_ms: 12.6, sequence: 4, phase: 'aggregated', born: 1_764_722_000_123,
     })));
-    expect(said).toMatchObject({
+    expect(announcement).toMatchObject({
       workerId: 'i-7', service: 's', address: '10.0.0.9:80', slots: 7, state: 'draining', coldMs: 13, sequence: 4, born: 1_764_722_000_123,
     });
-    expect(decodeFarewell('i-7', Buffer.alloc(0))).toMatchObject({ workerId: 'i-7', state: 'gone', born: 0 });
-    expect(decodeFarewell('i-7', Buffer.from('{"born":7}')).born).toBe(7);
+    expect(decodeDeregistration('i-7', Buffer.alloc(0))).toMatchObject({ workerId: 'i-7', state: 'gone', born: 0 });
+    expect(decodeDeregistration('i-7', Buffer.from('{"born":7}')).born).toBe(7);
   });
 
   /*
@@ -161,8 +161,8 @@
   it('should be refused where its bytes cannot be read', () => {
     const bytes = Buffer.concat([Buffer.from('{"service":"'), Buffer.from([0xff, 0xfe]), Buffer.from('"}')]);
     expect(() => decodeHeartbeat('i-7', bytes)).toThrow(expect.objectContaining({ code: 'malformedJson' }));
-    expect(() => decodeFarewell('i-7', bytes)).toThrow(expect.objectContaining({ code: 'malformedJson' }));
-    expect(() => decodeFarewell('i-7', Buffer.from('{"born":"soon"}'))).toThrow(expect.objectContaining({ code: 'announcementInvalid' }));
+    expect(() => decodeDeregistration('i-7', bytes)).toThrow(expect.objectContaining({ code: 'malformedJson' }));
+    expect(() => decodeDeregistration('i-7', Buffer.from('{"born":"soon"}'))).toThrow(expect.objectContaining({ code: 'announcementInvalid' }));
   });
 
   it.each(['', '{', '[]', '{"service":"s"}', '{"service":"s","address":"x","zone":"a","state":"ready","sequence":1}'])('should be refused when it is %s', (body) => {
--- a/tests/platform/platform-site.spec.ts
+++ b/tests/platform/platform-site.spec.ts
@@ -16,13 +16,13 @@
 /** Milliseconds after its acknowledgement in which a change must be in force everywhere. */
 const APPLY_MS = 2_500;
 
-const readPort = (address: string): string => address.slice(address.lastIndexOf(':') + 1);
+const parsePort = (address: string): string => address.slice(address.lastIndexOf(':') + 1);
 
-const waitFor = async (what: string, isDone: () => Promise<boolean>): Promise<void> => {
-  const until = performance.now() + WAIT_MS;
+const waitFor = async (description: string, isDone: () => Promise<boolean>): Promise<void> => {
+  const deadline = performance.now() + WAIT_MS;
   const poll = async (): Promise<void> => {
     if (await isDone().catch(() => false)) return;
-    if (performance.now() > until) throw new Error(`not within ${WAIT_MS} ms: ${what}`);
+    if (performance.now() > deadline) throw new Error(`not within ${WAIT_MS} ms: ${description}`);
     await pause(25);
     await poll();
   };
@@ -50,12 +50,12 @@
 
   static async open(): Promise<PlatformSite> {
     const addresses = await Promise.all(Array.from({ length: 5 }, findFreeAddress));
-    return new PlatformSite(addresses.map(readPort));
+    return new PlatformSite(addresses.map(parsePort));
   }
 
   startControl(machine: number, isFirstStart: boolean): void {
     const ip = `127.0.0.${machine}`;
-    this.start(`control-${machine}`, 'control', {
+    this.startProcess(`control-${machine}`, 'control', {
       ...this.buildCommon(ip),
       operatorAddress: `${ip}:${this.operatorPort}`,
       dataFolder: join(this.folder, `data-${machine}`),
@@ -69,7 +69,7 @@
 
   startEntry(machine: number): void {
     const ip = `127.0.0.${machine}`;
-    this.start(`entry-${machine}`, 'relay', {
+    this.startProcess(`entry-${machine}`, 'relay', {
       ...this.buildCommon(ip),
       callerAddress: `${ip}:${this.entryPort}`,
       readinessAddress: `${ip}:${this.readinessPort}`,
@@ -81,7 +81,7 @@
   }
 
   /** Ends a process and resolves with its exit code. */
-  end(name: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<number | null> {
+  endProcess(name: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<number | null> {
     const child = this.processes.get(name);
     this.processes.delete(name);
     return new Promise((done) => {
@@ -107,7 +107,7 @@
     return 1 + texts.findIndex((text) => /^beechlift_control_leads 1$/m.test(text));
   }
 
-  async askDirectory(machine: number): Promise<string[]> {
+  async queryDirectory(machine: number): Promise<string[]> {
     const { body } = await request(`http://127.0.0.${machine}:${this.ports[2]}/v1/resolution?name=a.example&zone=a`);
     return (await body.json() as { addresses?: string[] }).addresses ?? [];
   }
@@ -128,7 +128,7 @@
   }
 
   async close(): Promise<void> {
-    await Promise.all([...this.processes.keys()].map((name) => this.end(name, 'SIGKILL')));
+    await Promise.all([...this.processes.keys()].map((name) => this.endProcess(name, 'SIGKILL')));
     rmSync(this.folder, { recursive: true, force: true });
   }
 
@@ -144,7 +144,7 @@
     };
   }
 
-  private start(name: string, role: string, settings: object): void {
+  private startProcess(name: string, role: string, settings: object): void {
     const file = join(this.folder, `${name}.jsonc`);
     writeFileSync(file, JSON.stringify(settings));
     this.processes.set(name, spawn(process.execPath, [PROGRAM, role], {
@@ -167,16 +167,16 @@
   let server: ScriptedServer;
   let sequence = 0;
   /** Time from the server's first acknowledgement until both entries sent it requests. */
-  let heardMs = Infinity;
+  let discoveryMs = Infinity;
 
-  const beat = (machine: number): Promise<number> => {
+  const sendHeartbeat = (machine: number): Promise<number> => {
     sequence += 1;
     return site.post(machine, '/v1/Instances.Heartbeat/i-1', {
       service: 's', address: server.address, zone: 'a', slots: 4, state: 'ready', sequence,
     });
   };
 
-  const call = async (machine: number, key = 'k1') => {
+  const sendRequest = async (machine: number, key = 'k1') => {
     const answer = await request(`http://127.0.0.${machine}:${site.entryPort}/x/1?y=2`, {
       method: 'POST',
       body: 'hello',
@@ -198,11 +198,11 @@
     [4, 5].forEach((machine) => site.startEntry(machine));
     await waitFor('a document is accepted', async () => await site.post(2, '/v1/Configuration.Replace', buildDocument(1)) === 200);
     await waitFor('entries are ready', async () => await site.isReady(4) && site.isReady(5));
-    await waitFor('a heartbeat is acknowledged', async () => await beat(3) === 200);
+    await waitFor('a heartbeat is acknowledged', async () => await sendHeartbeat(3) === 200);
     const acknowledgedAt = performance.now();
-    const isServed = async (machine: number) => (await call(machine)).status === 200;
+    const isServed = async (machine: number) => (await sendRequest(machine)).status === 200;
     await waitFor('both entries have heard of the server', async () => await isServed(4) && isServed(5));
-    heardMs = performance.now() - acknowledgedAt;
+    discoveryMs = performance.now() - acknowledgedAt;
   });
 
   afterAll(async () => {
@@ -211,12 +211,12 @@
   });
 
   it('should serve a request from end to end, and name its entries', async () => {
-    const { status, headers, text } = await call(4);
+    const { status, headers, text } = await sendRequest(4);
     expect([status, text, headers['server-stamp']]).toEqual([200, 'got POST /x/1?y=2 HTTP/1.1', '3e1b']);
     expect(server.requests.at(-1)).toMatch(/Expected-Instance: i-1/);
     expect(server.requests.at(-1)).toMatch(/Tenant: n/);
     expect(server.requests.at(-1)).not.toMatch(/k1/);
-    await waitFor('both entries are named', async () => (await site.askDirectory(1)).length === 2);
+    await waitFor('both entries are named', async () => (await site.queryDirectory(1)).length === 2);
   });
 
   /*
@@ -224,7 +224,7 @@
    * just after it was acknowledged: news of servers wait for others, 50 ms on a small site.
    */
   it('should send requests to a server soon after it has announced itself', () => {
-    expect(heardMs).toBeLessThan(1_000);
+    expect(discoveryMs).toBeLessThan(1_000);
   });
 
   it('should tell what it counts at entries and control', async () => {
@@ -244,19 +244,19 @@
   it('should refuse an invalid document and keep on serving', async () => {
     expect(await site.post(1, '/v1/Configuration.Replace', '{"version": 9, "routes')).toBeGreaterThanOrEqual(400);
     expect(await site.post(1, '/v1/Instances.Heartbeat/i-2', '{}')).toBe(400);
-    expect((await call(5)).status).toBe(200);
+    expect((await sendRequest(5)).status).toBe(200);
   });
 
   it('should let no key in that a newer document took away', async () => {
     await waitFor('the key is replaced', async () => await site.post(3, '/v1/Configuration.Replace', buildDocument(5, ['k2'])) === 200);
-    await waitFor('the old key is refused', async () => (await call(4)).status === 401);
-    expect((await call(4, 'k2')).status).toBe(200);
+    await waitFor('the old key is refused', async () => (await sendRequest(4)).status === 401);
+    expect((await sendRequest(4, 'k2')).status).toBe(200);
   });
 
   // A control replica dies without a word: the site goes on, and takes it back.
   it('should go on when a control replica is killed, and take it back', async () => {
-    await site.end('control-1', 'SIGKILL');
-    expect((await call(4, 'k2')).status).toBe(200);
+    await site.endProcess('control-1', 'SIGKILL');
+    expect((await sendRequest(4, 'k2')).status).toBe(200);
     await waitFor('a change is accepted', async () => await site.post(2, '/v1/Configuration.Replace', buildDocument(8, ['k2'])) === 200);
     site.startControl(1, false);
     await waitFor('the newest is read at it', async () => {
@@ -270,12 +270,12 @@
    * that have not asked yet find nobody to connect to, as control alone knew the entries.
    */
   it('should tell callers where to connect while control is gone', async () => {
-    await waitFor('the entry knows both', async () => (await site.askDirectory(4)).length === 2);
-    await Promise.all([1, 2, 3].map((machine) => site.end(`control-${machine}`, 'SIGKILL')));
-    expect(await site.askDirectory(4)).toHaveLength(2);
-    expect((await call(4, 'k2')).status).toBe(200);
+    await waitFor('the entry knows both', async () => (await site.queryDirectory(4)).length === 2);
+    await Promise.all([1, 2, 3].map((machine) => site.endProcess(`control-${machine}`, 'SIGKILL')));
+    expect(await site.queryDirectory(4)).toHaveLength(2);
+    expect((await sendRequest(4, 'k2')).status).toBe(200);
     [1, 2, 3].forEach((machine) => site.startControl(machine, false));
-    await waitFor('control is back', async () => (await site.askDirectory(2)).length === 2);
+    await waitFor('control is back', async () => (await site.queryDirectory(2)).length === 2);
   });
 
   /*
@@ -295,17 +295,17 @@
       site.freeze(others);
       await pause(APPLY_MS + 100);
       site.resume(['entry-4']);
-      expect((await call(4, 'k3')).status).toBe(503);
+      expect((await sendRequest(4, 'k3')).status).toBe(503);
     } finally {
       site.resume([leader, ...others, 'entry-4']);
     }
-    await waitFor('the key opens', async () => (await call(4, 'k3')).status === 200);
+    await waitFor('the key opens', async () => (await sendRequest(4, 'k3')).status === 200);
   });
 
   it('should end an entry in order, named to nobody before it goes', async () => {
-    const ended = site.end('entry-5', 'SIGTERM');
-    await waitFor('it is named no more', async () => (await site.askDirectory(2)).length === 1);
-    expect((await call(5, 'k2')).status).toBe(200);
+    const ended = site.endProcess('entry-5', 'SIGTERM');
+    await waitFor('it is named no more', async () => (await site.queryDirectory(2)).length === 1);
+    expect((await sendRequest(5, 'k2')).status).toBe(200);
     expect(await ended).toBe(0);
   });
 });
--- a/tests/platform/start-cost.spec.ts
+++ b/tests/platform/start-cost.spec.ts
@@ -4,7 +4,7 @@
 import { build } from 'esbuild';
 import { describe, expect, it } from 'vitest';
 import { validateHeartbeat } from '../../platform/generated/validators';
-import { formatValidators } from '../../platform/validators';
+import { generateValidators } from '../../platform/validators';
 import { heartbeatSchema } from '../../platform/workerCallSchemas';
 import { listFaults } from '../../src/utils/schemaFaults';
 import { buildValidator } from '../../src/utils/schemaValidator';
@@ -18,7 +18,7 @@
 };
 
 /** Loads a bundle's cache as the launcher does; prints whether V8 refused it. */
-const SCRIPT = `
+const CACHE_CHECK_SCRIPT = `
   const { readFileSync } = require('node:fs');
   const { Script } = require('node:vm');
   const path = process.argv[1];
@@ -38,8 +38,8 @@
     const flags = readFlags(role);
     expect(flags).toEqual([]);
     const bundle = resolve(`target/${role}.cjs`);
-    const told = execFileSync(process.execPath, [...flags, '-e', SCRIPT, bundle], { encoding: 'utf8' });
-    expect(told).toBe('false');
+    const isRejected = execFileSync(process.execPath, [...flags, '-e', CACHE_CHECK_SCRIPT, bundle], { encoding: 'utf8' });
+    expect(isRejected).toBe('false');
   });
 
   /*
@@ -58,7 +58,7 @@
 
 describe('the validators of the programs', () => {
   it('should be those of the schemas', () => {
-    expect(readFileSync('platform/generated/validators.js', 'utf8')).toBe(formatValidators());
+    expect(readFileSync('platform/generated/validators.js', 'utf8')).toBe(generateValidators());
   });
 
   it('should name what is wrong as before they were compiled ahead', () => {
