--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -28,7 +28,7 @@
 
   /** Submits a manifest. */
   submit(manifest: string, timeoutMs: number): Promise<SubmitReply> {
-    return this.ask<SubmitRequest, SubmitReply>('submit', {
+    return this.callUntilDecided<SubmitRequest, SubmitReply>('submit', {
       manifest, operatorKey: this.operatorKey, deadlineMs: CALL_TIMEOUT_MS, forwarded: false,
     }, timeoutMs);
   }
@@ -36,7 +36,7 @@
   /** Reads the status of the leader, or of whoever answers when none leads. */
   async readStatus(timeoutMs: number): Promise<StatusReply> {
     const request = { operatorKey: this.operatorKey };
-    const first = await this.ask<StatusRequest, StatusReply>('readStatus', request, timeoutMs);
+    const first = await this.callUntilDecided<StatusRequest, StatusReply>('readStatus', request, timeoutMs);
     if (first.role === 'leader' || first.leaderAddress === '') return first;
     return this.callOnce<StatusRequest, StatusReply>(first.leaderAddress, 'readStatus', request)
       .catch(() => first);
@@ -48,28 +48,28 @@
       'operatorKey'>,
     timeoutMs: number,
   ): Promise<SubmitReply> {
-    return this.ask<ChangeReplicasRequest, SubmitReply>('changeReplicas', {
+    return this.callUntilDecided<ChangeReplicasRequest, SubmitReply>('changeReplicas', {
       ...request, operatorKey: this.operatorKey,
     }, timeoutMs);
   }
 
-  private async ask<Request, Reply>(
+  private async callUntilDecided<Request, Reply>(
     method: 'submit' | 'readStatus' | 'changeReplicas',
     request: Request,
     timeoutMs: number,
-    turn = 0,
+    attempt = 0,
   ): Promise<Reply> {
     const startedAt = performance.now();
-    const address = this.addresses[turn % this.addresses.length] ?? '';
+    const address = this.addresses[attempt % this.addresses.length] ?? '';
     try {
       return await this.callOnce<Request, Reply>(address, method, request);
     } catch (thrown) {
       const error = toPeerError(thrown, 'noQuorum');
-      const left = timeoutMs - (performance.now() - startedAt) - RETRY_PAUSE_MS;
+      const remainingMs = timeoutMs - (performance.now() - startedAt) - RETRY_PAUSE_MS;
       const isFinal = resultCodes[error.code].status !== 503 && error.code !== 'replicaChangeRefused';
-      if (isFinal || left <= 0) throw new BeechliftError(error.code, `${error.message} (last asked: ${address})`);
+      if (isFinal || remainingMs <= 0) throw new BeechliftError(error.code, `${error.message} (last asked: ${address})`);
       await pause(RETRY_PAUSE_MS);
-      return this.ask<Request, Reply>(method, request, left, turn + 1);
+      return this.callUntilDecided<Request, Reply>(method, request, remainingMs, attempt + 1);
     }
   }
 
--- a/src/cli/runCheck.ts
+++ b/src/cli/runCheck.ts
@@ -30,7 +30,7 @@
   return EXIT_CODES.done;
 };
 
-const reportSettings = (json: boolean): number => {
+const printValidSettings = (json: boolean): number => {
   printResult({ ok: true }, 'the settings are sound', json);
   return EXIT_CODES.done;
 };
@@ -39,11 +39,11 @@
   manifest: checkManifestFile,
   entry: (text, json) => {
     parseEntrySettings(text);
-    return reportSettings(json);
+    return printValidSettings(json);
   },
   control: (text, json) => {
     parseControlSettings(text);
-    return reportSettings(json);
+    return printValidSettings(json);
   },
 };
 
--- a/src/cli/runLocate.ts
+++ b/src/cli/runLocate.ts
@@ -32,7 +32,7 @@
     throw makeErrorFromNumber(error.code, error.message);
   }
   const answer = body as LocateAnswer;
-  const lines = answer.entries.map(({ id, address, zone: at }) => `${address}  ${id} in ${at}`);
+  const lines = answer.entries.map(({ id, address, zone: entryZone }) => `${address}  ${id} in ${entryZone}`);
   printResult(answer, [...lines, `keep for ${answer.keepMs} ms`].join('\n'), json);
   return EXIT_CODES.done;
 };
--- a/src/cli/runOperator.ts
+++ b/src/cli/runOperator.ts
@@ -14,7 +14,7 @@
   readonly json: boolean;
 }
 
-const openClient = ({ control, key }: OperatorArguments): OperatorClient => (
+const makeClient = ({ control, key }: OperatorArguments): OperatorClient => (
   new OperatorClient(control, key)
 );
 
@@ -26,7 +26,7 @@
 /** Submits a manifest; safe to repeat. */
 export const runSubmit = async (file: string, options: OperatorArguments): Promise<number> => {
   const reply = requireAccepted(
-    await openClient(options).submit(readTextFile(file), options.timeout),
+    await makeClient(options).submit(readTextFile(file), options.timeout),
   );
   const { version, digest, message } = reply;
   printResult({ ok: true, version, digest }, `version ${version} ${message}, digest ${digest}`, options.json);
@@ -43,7 +43,7 @@
 
 /** Prints what is in force, and where. */
 export const runStatus = async (options: OperatorArguments): Promise<number> => {
-  const status = await openClient(options).readStatus(options.timeout);
+  const status = await makeClient(options).readStatus(options.timeout);
   printResult(status, formatStatus(status), options.json);
   return EXIT_CODES.done;
 };
@@ -54,7 +54,7 @@
   add: Replica,
   options: OperatorArguments,
 ): Promise<number> => {
-  const reply = await openClient(options).changeReplicas({ removeId, add }, options.timeout);
+  const reply = await makeClient(options).changeReplicas({ removeId, add }, options.timeout);
   printResult(reply, `replacing ${removeId} by ${add.id} has ${reply.message}; see status for its end`, options.json);
   return EXIT_CODES.done;
 };
--- a/src/cli/runProcess.ts
+++ b/src/cli/runProcess.ts
@@ -7,10 +7,10 @@
 
 /** Ends a process gracefully on the first signal, at once on the second. */
 const stopOnSignal = (shutDown: () => Promise<void>): void => {
-  let stopping = false;
+  let isStopping = false;
   STOP_SIGNALS.forEach((signal) => process.on(signal, () => {
-    if (stopping) process.exit(EXIT_CODES.fault);
-    stopping = true;
+    if (isStopping) process.exit(EXIT_CODES.fault);
+    isStopping = true;
     shutDown()
       .then(() => process.exit(EXIT_CODES.done))
       .catch((error: unknown) => process.exit(printError(toBeechliftError(error), false)));
@@ -18,7 +18,7 @@
 };
 
 /** Ends a process that could not start, whatever it has open already. */
-const endOnFailure = async (start: () => Promise<void>): Promise<void> => {
+const exitOnStartFailure = async (start: () => Promise<void>): Promise<void> => {
   try {
     await start();
   } catch (thrown) {
@@ -27,7 +27,7 @@
 };
 
 /** Runs an entry until it is told to stop. */
-export const runEntry = (settingsFile: string): Promise<void> => endOnFailure(async () => {
+export const runEntry = (settingsFile: string): Promise<void> => exitOnStartFailure(async () => {
   const settings = parseEntrySettings(readTextFile(settingsFile));
   const { shutDown } = await wireEntry(settings);
   stopOnSignal(shutDown);
@@ -37,13 +37,13 @@
  * Guards against a replica that goes on with a disk which refused a write: what it would vote for
  * could be gone after a restart. It ends, and the others go on without it.
  */
-const endOnFault = (error: unknown): void => {
+const exitOnStorageFailure = (error: unknown): void => {
   process.exit(printError(toBeechliftError(error), false));
 };
 
 /** Runs a control replica until it is told to stop. */
-export const runControl = (settingsFile: string): Promise<void> => endOnFailure(async () => {
+export const runControl = (settingsFile: string): Promise<void> => exitOnStartFailure(async () => {
   const settings = parseControlSettings(readTextFile(settingsFile));
-  const { shutDown } = await wireControl(settings, endOnFault);
+  const { shutDown } = await wireControl(settings, exitOnStorageFailure);
   stopOnSignal(shutDown);
 });
--- a/src/cli/runVerify.ts
+++ b/src/cli/runVerify.ts
@@ -1,12 +1,12 @@
 import { readTextFile } from '../settings/loadSettings';
 import { parseRecords } from '../verify/records';
 import { verifyRecords } from '../verify/verifyRecords';
-import type { BrokenInvariant } from '../verify/verifyRecords';
+import type { InvariantViolation } from '../verify/verifyRecords';
 import { EXIT_CODES, printResult } from './output';
 
-const formatBroken = ({
+const formatViolation = ({
   invariant, identity, message, story,
-}: BrokenInvariant): string => [
+}: InvariantViolation): string => [
   `${invariant}: ${identity}: ${message}`,
   ...story.map((line) => `  ${line}`),
 ].join('\n');
@@ -14,10 +14,10 @@
 /** Prints each broken invariant in records of callers and engines, with the request's story. */
 export const runVerify = (files: readonly string[], json: boolean): number => {
   const records = files.flatMap((file) => parseRecords(readTextFile(file)));
-  const broken = verifyRecords(records);
-  const text = broken.length === 0
+  const violations = verifyRecords(records);
+  const text = violations.length === 0
     ? `${records.length} records, no invariant is broken`
-    : broken.map(formatBroken).join('\n');
-  printResult({ records: records.length, broken }, text, json);
-  return broken.length === 0 ? EXIT_CODES.done : EXIT_CODES.refused;
+    : violations.map(formatViolation).join('\n');
+  printResult({ records: records.length, broken: violations }, text, json);
+  return violations.length === 0 ? EXIT_CODES.done : EXIT_CODES.refused;
 };
--- a/src/control/placementStream.ts
+++ b/src/control/placementStream.ts
@@ -1,6 +1,6 @@
 import type { PlaceDecisions, PlaceNews, PlaceReply } from '../protocol/generated/beechlift';
 import type { Clock } from '../utils/clock';
-import { TurnTask } from '../utils/turnTask';
+import { ImmediateTask } from '../utils/immediateTask';
 
 /** Sends messages to an entry over its placement stream, and ends the stream. */
 export interface PlacementSink {
@@ -33,7 +33,7 @@
 
   private acknowledged = 0;
 
-  private readonly flushTask = new TurnTask(() => this.flush());
+  private readonly flushTask = new ImmediateTask(() => this.flush());
 
   private sentAt: number;
 
--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -15,7 +15,7 @@
 import { BeechliftError, toBeechliftError } from '../errors/beechliftError';
 import type { RoutingReader } from '../manifest/routing';
 import type { Logger } from '../telemetry/logger';
-import { PROCESS_START, SuspensionWatch, systemClock } from '../utils/clock';
+import { PROCESS_START, SuspensionDetector, systemClock } from '../utils/clock';
 import { Operation } from '../utils/operation';
 import { LinkTable } from '../wire/linkTable';
 import { toPeerError } from '../wire/peerError';
@@ -296,7 +296,7 @@
     },
     clock: systemClock,
     startedAt: PROCESS_START,
-    suspension: new SuspensionWatch(),
+    suspension: new SuspensionDetector(),
     logger,
     leaseMs: computeLeaseMs(settings.bounds),
     voterCount: settings.voterCount,
--- a/src/control/routedNodeParts.ts
+++ b/src/control/routedNodeParts.ts
@@ -7,7 +7,7 @@
 import type { LogStore } from '../disk/logStore';
 import type { RoutingReader } from '../manifest/routing';
 import type { Logger } from '../telemetry/logger';
-import type { Clock, SuspensionWatch } from '../utils/clock';
+import type { Clock, SuspensionDetector } from '../utils/clock';
 import type { RecordCache } from './recordCache';
 
 /** Calls to the other replicas, and the report of a disk failure. */
@@ -36,7 +36,7 @@
   readonly clock: Clock;
   /** When this process started, on the same clock. */
   readonly startedAt: number;
-  readonly suspension: SuspensionWatch;
+  readonly suspension: SuspensionDetector;
   readonly logger: Logger;
   /** Duration of the lease that a watch reply grants to an entry, in milliseconds. */
   readonly leaseMs: number;
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -2,7 +2,7 @@
 import type { WatchReply, WatchRequest } from '../protocol/generated/beechlift';
 import type { SiteDocument } from '../core/routing/siteDocument';
 import type { HeldCalls } from '../utils/heldCalls';
-import { LoopTurns } from '../utils/loopTurns';
+import { ImmediateQueue } from '../utils/immediateQueue';
 import { DocumentPacker, NO_DOCUMENT_PART } from './documentPacker';
 import type { EntryPart, LeaderState } from './leaderState';
 import type { LeaderWait } from './leaderWait';
@@ -54,7 +54,7 @@
 export class WatchService {
   private readonly packer = new DocumentPacker();
 
-  private readonly turns = new LoopTurns();
+  private readonly turns = new ImmediateQueue();
 
   constructor(private readonly parts: WatchServiceParts) {}
 
--- a/src/disk/claimStore.ts
+++ b/src/disk/claimStore.ts
@@ -3,8 +3,8 @@
 import type { FileSystem } from './fileSystem';
 import { RecordFile } from './recordFile';
 
-const MIN_COMPACT_BYTES = 4_194_304;
-const COMPACT_RATIO = 4;
+const MIN_COMPACTION_BYTES = 4_194_304;
+const COMPACTION_GROWTH = 4;
 
 const encodeClaim = (record: ClaimRecord): string => (
   Buffer.from(ClaimRecord.encode(record).finish()).toString('base64')
@@ -48,7 +48,7 @@
 
   /** Whether most of the file is about claims that changed since or expired. */
   get needsCompaction(): boolean {
-    return this.size > Math.max(MIN_COMPACT_BYTES, this.compactedBytes * COMPACT_RATIO);
+    return this.size > Math.max(MIN_COMPACTION_BYTES, this.compactedBytes * COMPACTION_GROWTH);
   }
 
   /** Rewrites the file with the claims that are still kept. */
--- a/src/disk/logStore.ts
+++ b/src/disk/logStore.ts
@@ -8,26 +8,26 @@
   | { readonly kind: 'snapshot'; readonly snapshot: Snapshot };
 
 /** One change of the log on its way to disk. */
-export interface LogWrite {
+export interface LogAppend {
   readonly hardState: HardState;
   readonly entries: readonly LogEntry[];
 }
 
-interface Fold { hardState: HardState; snapshot: Snapshot; entries: LogEntry[] }
+interface ReplayedLog { hardState: HardState; snapshot: Snapshot; entries: LogEntry[] }
 
-const foldEntries = (fold: Fold, entries: readonly LogEntry[]): LogEntry[] => {
+const applyEntries = (log: ReplayedLog, entries: readonly LogEntry[]): LogEntry[] => {
   const [first] = entries;
-  if (!first) return fold.entries;
+  if (!first) return log.entries;
   // Entries replace all that stood from their index on.
-  return [...fold.entries.filter(({ index }) => index < first.index), ...entries];
+  return [...log.entries.filter(({ index }) => index < first.index), ...entries];
 };
 
-const foldRecord = (fold: Fold, record: LogRecord): Fold => {
+const applyRecord = (log: ReplayedLog, record: LogRecord): ReplayedLog => {
   if (record.kind === 'snapshot') {
-    const entries = fold.entries.filter(({ index }) => index > record.snapshot.index);
-    return { ...fold, snapshot: record.snapshot, entries };
+    const entries = log.entries.filter(({ index }) => index > record.snapshot.index);
+    return { ...log, snapshot: record.snapshot, entries };
   }
-  return { ...fold, hardState: record.hardState, entries: foldEntries(fold, record.entries) };
+  return { ...log, hardState: record.hardState, entries: applyEntries(log, record.entries) };
 };
 
 /**
@@ -56,12 +56,12 @@
       await this.replace(empty.snapshot, empty.hardState, empty.entries);
       return empty;
     }
-    return records.reduce(foldRecord, { ...empty, entries: [...empty.entries] });
+    return records.reduce(applyRecord, { ...empty, entries: [...empty.entries] });
   }
 
   /** Adds changes in order; resolves once they are synced. */
-  append(writes: readonly LogWrite[]): Promise<void> {
-    return this.file.append(writes.map((write): LogRecord => ({ kind: 'state', ...write })));
+  append(appends: readonly LogAppend[]): Promise<void> {
+    return this.file.append(appends.map((append): LogRecord => ({ kind: 'state', ...append })));
   }
 
   /** Puts a snapshot and what follows it in the place of all that was written. */
--- a/src/disk/recordFile.ts
+++ b/src/disk/recordFile.ts
@@ -15,14 +15,14 @@
 /** Records of a line; one that an earlier version wrote holds a single record, and no list. */
 const parseLine = (line: string): unknown[] | undefined => {
   const text = line.slice(CHECKSUM_DIGITS + 1);
-  const sum = crc32(text).toString(16).padStart(CHECKSUM_DIGITS, '0');
-  return line.slice(0, CHECKSUM_DIGITS) === sum ? [JSON.parse(text) as unknown].flat() : undefined;
+  const checksum = crc32(text).toString(16).padStart(CHECKSUM_DIGITS, '0');
+  return line.slice(0, CHECKSUM_DIGITS) === checksum ? [JSON.parse(text) as unknown].flat() : undefined;
 };
 
 /** What a file held: its records, and how many bytes of it are sound. */
-interface ParsedFile {
+interface ParsedContent {
   readonly records: unknown[];
-  readonly soundBytes: number;
+  readonly validBytes: number;
 }
 
 const splitLines = (content: Buffer): string[] => {
@@ -36,22 +36,22 @@
  * one line, so a bad line with a sound one after it is no torn write but damage to what was
  * answered, and is refused.
  */
-const parseContent = (path: string, content: Buffer): ParsedFile => {
+const parseContent = (path: string, content: Buffer): ParsedContent => {
   const lines = splitLines(content).map((line) => ({ line, records: parseLine(line) }));
-  const firstBad = lines.findIndex(({ records }) => records === undefined);
-  if (firstBad < 0) {
+  const firstInvalid = lines.findIndex(({ records }) => records === undefined);
+  if (firstInvalid < 0) {
     return {
-      records: lines.flatMap(({ records }) => records ?? []), soundBytes: content.length,
+      records: lines.flatMap(({ records }) => records ?? []), validBytes: content.length,
     };
   }
-  const soundAfter = lines.slice(firstBad).some(({ records }) => records !== undefined);
-  if (soundAfter) {
-    throw new BeechliftError('logCorrupt', `line ${firstBad + 1} of "${path}" does not match its checksum, and sound lines follow it`);
+  const isFollowedByValid = lines.slice(firstInvalid).some(({ records }) => records !== undefined);
+  if (isFollowedByValid) {
+    throw new BeechliftError('logCorrupt', `line ${firstInvalid + 1} of "${path}" does not match its checksum, and sound lines follow it`);
   }
-  const sound = lines.slice(0, firstBad);
+  const validLines = lines.slice(0, firstInvalid);
   return {
-    records: sound.flatMap(({ records }) => records ?? []),
-    soundBytes: sound.reduce((sum, { line }) => sum + Buffer.byteLength(line) + 1, 0),
+    records: validLines.flatMap(({ records }) => records ?? []),
+    validBytes: validLines.reduce((sum, { line }) => sum + Buffer.byteLength(line) + 1, 0),
   };
 };
 
@@ -91,10 +91,10 @@
   async open(): Promise<unknown[]> {
     await this.files.makeFolder(dirname(this.path));
     const content = await this.files.readFile(this.path) ?? Buffer.alloc(0);
-    const { records, soundBytes } = parseContent(this.path, content);
+    const { records, validBytes: validBytes } = parseContent(this.path, content);
     this.file = await this.files.openAppend(this.path);
-    if (soundBytes < content.length) {
-      await this.file.truncate(soundBytes);
+    if (validBytes < content.length) {
+      await this.file.truncate(validBytes);
     } else if (content.length > 0 && content.at(-1) !== NEWLINE) {
       // The last record is whole but its line end was torn off.
       await this.file.append(Buffer.from('\n'));
@@ -102,7 +102,7 @@
     // A process that was killed in the middle of a sync leaves records that are not on the disk.
     if (content.length > 0) await this.file.sync();
     await this.files.syncFolder(dirname(this.path));
-    this.bytesWritten = soundBytes;
+    this.bytesWritten = validBytes;
     return records;
   }
 
@@ -161,12 +161,12 @@
   }
 
   private async rewrite(bytes: Buffer): Promise<void> {
-    const fresh = `${this.path}.new`;
-    await this.files.remove(fresh);
-    const file = await this.files.openAppend(fresh);
+    const newPath = `${this.path}.new`;
+    await this.files.remove(newPath);
+    const file = await this.files.openAppend(newPath);
     await file.append(bytes);
     await file.sync();
-    await this.files.rename(fresh, this.path);
+    await this.files.rename(newPath, this.path);
     await this.files.syncFolder(dirname(this.path));
     await this.file?.close();
     this.file = file;
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -98,7 +98,7 @@
     if (operation.remainingMs <= OWNER_RETRY_MS) {
       throw new BeechliftError('noSlotInTime', `the owner of pool "${ask.pool}" did not answer in time`, { steps: operation.steps, retryAfterMs: PEER_TIMEOUT_MS });
     }
-    operation.note(`the owner of pool "${ask.pool}" changed or does not answer`);
+    operation.recordStep(`the owner of pool "${ask.pool}" changed or does not answer`);
     await pause(OWNER_RETRY_MS);
     const deadlineMs = Math.max(0, ask.deadlineMs - OWNER_RETRY_MS);
     return this.ask({ ...ask, deadlineMs }, operation, headers);
--- a/src/entry/choosing/slotClient.ts
+++ b/src/entry/choosing/slotClient.ts
@@ -43,7 +43,7 @@
    * slot that no entry uses, so a cancelled ask also reports the slot as unused.
    */
   async acquire(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
-    const { span, below } = this.tracer.startHop(
+    const { span, childContext: childContext } = this.tracer.startHop(
       'owner',
       parent,
       { pool: request.pool, tier: request.tier },
@@ -52,7 +52,7 @@
       const reply = await this.scheduler.ask(
         this.buildAsk(request, operation),
         operation,
-        this.tracer.formatHeaders(below),
+        this.tracer.formatHeaders(childContext),
       );
       if (reply.code !== 0) {
         throw makeErrorFromNumber(reply.code, reply.message, { retryAfterMs: reply.retryAfterMs });
--- a/src/entry/sending/answerRelay.ts
+++ b/src/entry/sending/answerRelay.ts
@@ -84,7 +84,7 @@
   ): Promise<void> {
     const { operation, stream } = this;
     if (!(error instanceof EngineFailure)) throw error;
-    operation.note(`stream ${stream.streamId} broke at event ${this.offset}: ${error.message}`);
+    operation.recordStep(`stream ${stream.streamId} broke at event ${this.offset}: ${error.message}`);
     const canRetry = stream.canResume && this.failedResumes < MAX_FAILED_RESUMES
       && operation.remainingMs > 0 && !operation.signal.aborted;
     if (!canRetry) {
--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -129,7 +129,7 @@
       operation,
     ));
     if (round.won) return;
-    operation.note(`writing claim state "${value.state}" failed: ${formatRound(round)}`);
+    operation.recordStep(`writing claim state "${value.state}" failed: ${formatRound(round)}`);
     if (hasHigherBallot(round)) {
       throw makeSupersededError(operation.steps);
     }
@@ -151,7 +151,7 @@
       operation,
     ));
     if (round.won) return { key, ballot, bound: findAcceptedValue(round.replies.values()) };
-    operation.note(`preparing the claim with ballot ${ballot.round} failed: ${formatRound(round)}`);
+    operation.recordStep(`preparing the claim with ballot ${ballot.round} failed: ${formatRound(round)}`);
     await this.pauseBeforeRetry(operation, attempts);
     const next = computeNextBallot(ballot.proposer, round.replies.values(), ballot);
     return this.tryPrepare(key, next, operation, attempts - 1);
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -132,12 +132,12 @@
   private async send(job: RequestJob, granted: GrantedDispatch): Promise<void> {
     const { tracer, engines } = this.parts;
     const { workerAddress, streamId, workerId } = granted.dispatch;
-    const { span, below } = tracer.startHop(
+    const { span, childContext: childContext } = tracer.startHop(
       'engine',
       job.context,
       { worker: workerId, stream: streamId },
     );
-    const headers = tracer.formatHeaders(below);
+    const headers = tracer.formatHeaders(childContext);
     try {
       const events = await engines.dispatch({
         address: workerAddress,
--- a/src/entry/sending/prepareRetry.ts
+++ b/src/entry/sending/prepareRetry.ts
@@ -26,7 +26,7 @@
   reason: string,
 ): Promise<void> => {
   job.waitOperation = job.makeWaitOperation();
-  job.waitOperation.note(reason);
+  job.waitOperation.recordStep(reason);
   job.unexecutedDispatches += 1;
   const releaseFailure = await job.claim.release();
   if (releaseFailure) throw releaseFailure;
--- a/src/entry/sending/serviceRunner.ts
+++ b/src/entry/sending/serviceRunner.ts
@@ -102,14 +102,14 @@
     dispatch: ServiceDispatch,
   ): Promise<ServiceAnswer> {
     const { tracer, slots, clock } = this.parts;
-    const { span, below } = tracer.startHop('service', job.context, { worker: grant.workerId });
+    const { span, childContext: childContext } = tracer.startHop('service', job.context, { worker: grant.workerId });
     const sentAt = clock.now();
     try {
       const answer = await callService({
         ...dispatch,
         address: grant.workerAddress,
         path: job.request.path,
-        headers: { ...dispatch.headers, ...tracer.formatHeaders(below) },
+        headers: { ...dispatch.headers, ...tracer.formatHeaders(childContext) },
         timeoutMs: Math.max(1, job.request.deadlineMs),
         maxBytes: this.parts.readManifest().limits.bodyBytes,
       });
--- a/src/http/closeInOrder.ts
+++ b/src/http/addGracefulClose.ts
@@ -4,14 +4,14 @@
 import type { FastifyInstance } from 'fastify';
 
 /** Longest wait for callers that read slowly, in milliseconds. */
-const WRITE_MS = 2_000;
+const FLUSH_TIMEOUT_MS = 2_000;
 
-const isUnwritten = (response: ServerResponse | undefined): response is ServerResponse => (
+const isUnflushed = (response: ServerResponse | undefined): response is ServerResponse => (
   response !== undefined
   && response.writableEnded && !response.writableFinished && !response.destroyed
 );
 
-const waitClosed = (response: ServerResponse): Promise<void> => new Promise((resolve) => {
+const waitForClose = (response: ServerResponse): Promise<void> => new Promise((resolve) => {
   response.once('close', resolve);
 });
 
@@ -22,21 +22,21 @@
  * @example
  * closeInOrder(app);
  */
-export const closeInOrder = (app: FastifyInstance): void => {
+export const addGracefulClose = (app: FastifyInstance): void => {
   /** The newest answer on each connection. */
-  const newest = new Map<Socket, ServerResponse | undefined>();
+  const latestResponses = new Map<Socket, ServerResponse | undefined>();
   app.server.on('connection', (socket: Socket) => {
-    newest.set(socket, undefined);
-    socket.once('close', () => newest.delete(socket));
+    latestResponses.set(socket, undefined);
+    socket.once('close', () => latestResponses.delete(socket));
   });
   app.server.on('request', ({ socket }: IncomingMessage, response: ServerResponse) => {
-    if (newest.has(socket)) newest.set(socket, response);
+    if (latestResponses.has(socket)) latestResponses.set(socket, response);
   });
   app.addHook('preClose', async () => {
-    const unwritten = [...newest.values()].filter((response) => isUnwritten(response));
-    const written = Promise.all(unwritten.map(waitClosed));
-    await Promise.race([written, pause(WRITE_MS, undefined, { ref: false })]);
-    [...newest.keys()]
+    const unflushed = [...latestResponses.values()].filter((response) => isUnflushed(response));
+    const flushed = Promise.all(unflushed.map(waitForClose));
+    await Promise.race([flushed, pause(FLUSH_TIMEOUT_MS, undefined, { ref: false })]);
+    [...latestResponses.keys()]
       .filter(({ bytesRead }) => bytesRead === 0)
       .forEach((socket) => socket.destroy());
   });
--- a/src/http/callerServer.ts
+++ b/src/http/callerServer.ts
@@ -11,10 +11,10 @@
   reply: FastifyReply,
 ): Promise<void> => {
   const path = request.routeOptions.url ?? '';
-  const call = api.readCompletion(path, readBody(request), request.headers);
-  const sink = new HttpSink(reply, call.request.stream, path);
+  const completion = api.readCompletion(path, readBody(request), request.headers);
+  const sink = new HttpSink(reply, completion.request.stream, path);
   try {
-    await api.runCompletion(call, sink, sink.link);
+    await api.runCompletion(completion, sink, sink.connection);
   } catch (thrown) {
     sink.fail(toBeechliftError(thrown));
   }
--- a/src/http/httpServer.ts
+++ b/src/http/httpServer.ts
@@ -6,7 +6,7 @@
 import { BeechliftError, toBeechliftError } from '../errors/beechliftError';
 import type { ResultCode } from '../errors/resultCodes';
 import { NO_SCHEMAS } from '../utils/noSchemas';
-import { closeInOrder } from './closeInOrder';
+import { addGracefulClose } from './addGracefulClose';
 
 const MAX_BODY_BYTES = 67_108_864;
 const MAX_HEADER_BYTES = 32_768;
@@ -25,10 +25,10 @@
 const toCodedError = (error: Error): BeechliftError => {
   if (error instanceof BeechliftError) return error;
   const { code, statusCode } = error as FastifyError;
-  const known = frameworkCodes[code];
-  if (known) return new BeechliftError(known, error.message);
-  const isCallers = statusCode !== undefined && statusCode < 500;
-  return isCallers ? new BeechliftError('invalidRequest', error.message) : toBeechliftError(error);
+  const resultCode = frameworkCodes[code];
+  if (resultCode) return new BeechliftError(resultCode, error.message);
+  const isClientError = statusCode !== undefined && statusCode < 500;
+  return isClientError ? new BeechliftError('invalidRequest', error.message) : toBeechliftError(error);
 };
 
 /**
@@ -46,14 +46,14 @@
 };
 
 /** Answers what is no readable HTTP request, before there is a request to speak of. */
-const answerUnreadable = (error: Error & { code?: string }, socket: Socket): void => {
-  const isHeaders = error.code === 'HPE_HEADER_OVERFLOW';
-  const coded = isHeaders
+const handleClientError = (error: Error & { code?: string }, socket: Socket): void => {
+  const isHeaderOverflow = error.code === 'HPE_HEADER_OVERFLOW';
+  const codedError = isHeaderOverflow
     ? new BeechliftError('headersTooLarge', `at most ${MAX_HEADER_BYTES} bytes of headers are taken`)
     : new BeechliftError('invalidRequest', `no readable HTTP request: ${error.message}`);
-  const body = JSON.stringify(coded.buildBody());
+  const body = JSON.stringify(codedError.buildBody());
   if (!socket.writable) return;
-  socket.end(`HTTP/1.1 ${coded.status} Refused\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
+  socket.end(`HTTP/1.1 ${codedError.status} Refused\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 };
 
 /**
@@ -69,9 +69,9 @@
     keepAliveTimeout: KEEP_ALIVE_MS,
     http: { maxHeaderSize: MAX_HEADER_BYTES },
     forceCloseConnections: 'idle',
-    clientErrorHandler: answerUnreadable,
+    clientErrorHandler: handleClientError,
   });
-  closeInOrder(app);
+  addGracefulClose(app);
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (request, body, done) => {
     done(null, body);
--- a/src/http/httpSink.ts
+++ b/src/http/httpSink.ts
@@ -23,17 +23,17 @@
  */
 export class HttpSink implements AnswerSink {
   /** The caller's end, as the runners see it. */
-  readonly link: CallerConnection;
+  readonly connection: CallerConnection;
 
   private readonly events: string[] = [];
 
-  private offset = 0;
+  private nextEventId = 0;
 
-  private begun = false;
+  private hasStarted = false;
 
   private keepAlive: NodeJS.Timeout | undefined;
 
-  private gone = false;
+  private isDisconnected = false;
 
   constructor(
     private readonly reply: FastifyReply,
@@ -44,11 +44,11 @@
     reply.raw.on('close', () => {
       clearInterval(this.keepAlive);
       if (reply.raw.writableFinished) return;
-      this.gone = true;
+      this.isDisconnected = true;
       listeners.forEach((listener) => listener());
     });
-    this.link = {
-      isDisconnected: () => this.gone,
+    this.connection = {
+      isDisconnected: () => this.isDisconnected,
       onDisconnect: (listener) => {
         listeners.push(listener);
       },
@@ -61,37 +61,37 @@
       this.events.push(data);
       return;
     }
-    this.begin();
-    await this.write(`id: ${this.offset}\ndata: ${data}\n\n`);
-    this.offset += 1;
+    this.startStream();
+    await this.write(`id: ${this.nextEventId}\ndata: ${data}\n\n`);
+    this.nextEventId += 1;
   }
 
   /** Ends a whole answer. */
   async end(): Promise<void> {
     clearInterval(this.keepAlive);
-    if (this.gone) return;
+    if (this.isDisconnected) return;
     if (!this.isStream) {
       await this.reply.send(foldEvents(this.events, this.path.includes('chat')));
       return;
     }
-    this.begin();
+    this.startStream();
     this.reply.raw.end('data: [DONE]\n\n');
   }
 
   /** Tells the caller what went wrong: by status, or, once a stream has begun, by an event. */
   fail(error: BeechliftError): void {
     clearInterval(this.keepAlive);
-    if (this.gone) return;
-    if (!this.begun) {
+    if (this.isDisconnected) return;
+    if (!this.hasStarted) {
       sendError(this.reply, error);
       return;
     }
     this.reply.raw.end(`event: error\ndata: ${JSON.stringify(error.buildBody())}\n\n`);
   }
 
-  private begin(): void {
-    if (this.begun) return;
-    this.begun = true;
+  private startStream(): void {
+    if (this.hasStarted) return;
+    this.hasStarted = true;
     this.reply.hijack();
     this.reply.raw.writeHead(200, STREAM_HEADERS);
     // Comments let a caller tell a silent connection from a slow answer.
@@ -100,7 +100,7 @@
   }
 
   private async write(text: string): Promise<void> {
-    if (this.gone || this.reply.raw.write(text)) return;
+    if (this.isDisconnected || this.reply.raw.write(text)) return;
     await Promise.race([once(this.reply.raw, 'drain'), once(this.reply.raw, 'close')]);
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -24,7 +24,7 @@
   timeout: { type: 'number', default: DEFAULT_TIMEOUT_MS, describe: 'Milliseconds to keep trying' },
 } as const;
 
-const settle = async (json: boolean, run: () => Promise<number | void> | number): Promise<void> => {
+const runCommand = async (json: boolean, run: () => Promise<number | void> | number): Promise<void> => {
   try {
     const code = await run();
     if (typeof code === 'number') process.exitCode = code;
@@ -43,7 +43,7 @@
     (command) => command
       .positional('settings', { type: 'string', demandOption: true })
       .example('$0 entry entry.jsonc', 'serve callers'),
-    (argv) => settle(argv.json, () => runEntry(argv.settings)),
+    (argv) => runCommand(argv.json, () => runEntry(argv.settings)),
   )
   .command(
     'control <settings>',
@@ -51,7 +51,7 @@
     (command) => command
       .positional('settings', { type: 'string', demandOption: true })
       .example('$0 control control.jsonc', 'serve entries and operators'),
-    (argv) => settle(argv.json, () => runControl(argv.settings)),
+    (argv) => runCommand(argv.json, () => runControl(argv.settings)),
   )
   .command(
     'check [file]',
@@ -68,7 +68,7 @@
       )
       .example('$0 check manifest.json', 'list every fault')
       .example('$0 check --schema', 'for a build pipeline'),
-    (argv) => settle(argv.json, () => runCheck(argv)),
+    (argv) => runCommand(argv.json, () => runCheck(argv)),
   )
   .command(
     'submit <file>',
@@ -77,13 +77,13 @@
       .positional('file', { type: 'string', demandOption: true })
       .options(operatorOptions)
       .example('$0 submit manifest.json --control 10.0.0.1:7200', 'until a majority has accepted it'),
-    (argv) => settle(argv.json, () => runSubmit(argv.file, argv)),
+    (argv) => runCommand(argv.json, () => runSubmit(argv.file, argv)),
   )
   .command(
     'status',
     'Print what is in force, and where',
     (command) => command.options(operatorOptions).example('$0 status --control 10.0.0.1:7200', ''),
-    (argv) => settle(argv.json, () => runStatus(argv)),
+    (argv) => runCommand(argv.json, () => runStatus(argv)),
   )
   .command(
     'replace <remove> <id> <address> <zone>',
@@ -95,7 +95,7 @@
       .positional('zone', { type: 'string', demandOption: true })
       .options(operatorOptions)
       .example('$0 replace c2 c4 10.0.0.4:7200 az-2 --control 10.0.0.1:7200', ''),
-    (argv) => settle(argv.json, () => runReplace(
+    (argv) => runCommand(argv.json, () => runReplace(
       argv.remove,
       { id: argv.id, address: argv.address, zone: argv.zone },
       argv,
@@ -109,7 +109,7 @@
       .option('key', { type: 'string', default: process.env.BEECHLIFT_API_KEY ?? '', describe: 'API key' })
       .option('zone', { type: 'string', default: '', describe: 'Own availability zone' })
       .example('$0 locate --entry 10.0.0.1:7000 --key KEY', ''),
-    (argv) => settle(argv.json, () => runLocate(argv)),
+    (argv) => runCommand(argv.json, () => runLocate(argv)),
   )
   .command(
     'explain <code>',
@@ -117,7 +117,7 @@
     (command) => command
       .positional('code', { type: 'string', demandOption: true })
       .example('$0 explain 2001', ''),
-    (argv) => settle(argv.json, () => runExplain(String(argv.code), argv.json)),
+    (argv) => runCommand(argv.json, () => runExplain(String(argv.code), argv.json)),
   )
   .command(
     'verify <records..>',
@@ -125,7 +125,7 @@
     (command) => command
       .positional('records', { type: 'string', array: true, demandOption: true })
       .example('$0 verify callers.ndjson engines.ndjson', 'NDJSON of sent, answer and dispatch'),
-    (argv) => settle(argv.json, () => runVerify(argv.records, argv.json)),
+    (argv) => runCommand(argv.json, () => runVerify(argv.records, argv.json)),
   )
   .demandCommand(1, 'Name a command.')
   .strict()
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -5,7 +5,7 @@
 } from '../protocol/generated/beechlift';
 import type { Logger } from '../telemetry/logger';
 import type { Clock } from '../utils/clock';
-import { TurnTask } from '../utils/turnTask';
+import { ImmediateTask } from '../utils/immediateTask';
 import type { ClientStream, RpcLink } from '../wire/rpcLink';
 import { CrashRecords } from './crashRecords';
 import type { ServerCrash } from './crashRecords';
@@ -90,7 +90,7 @@
 
   private leaderStream: LeaderStream | undefined;
 
-  private readonly flushTask = new TurnTask(() => this.flush());
+  private readonly flushTask = new ImmediateTask(() => this.flush());
 
   private flushTimer: NodeJS.Timeout | undefined;
 
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -5,7 +5,7 @@
 import type { RetryBounds } from '../core/routing/retryBudget';
 import type { RoutingReader } from '../manifest/routing';
 import type { Logger } from '../telemetry/logger';
-import { SuspensionWatch, systemClock } from '../utils/clock';
+import { SuspensionDetector, systemClock } from '../utils/clock';
 import { OpenRequests } from './openRequests';
 import { PlaceClient } from './placeClient';
 import { RelayMetrics } from './relayMetrics';
@@ -76,7 +76,7 @@
 export const startRelay = ({
   settings, readRouting, dialect, logger,
 }: RelayParts): RunningRelay => {
-  const suspension = new SuspensionWatch();
+  const suspension = new SuspensionDetector();
   const metrics = new RelayMetrics();
   const connections = new WorkerConnections();
   const site = new RelaySite({
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -13,7 +13,7 @@
 import { RouteTable } from '../core/routing/routeTable';
 import type { RoutingReader } from '../manifest/routing';
 import type { Logger } from '../telemetry/logger';
-import type { Clock, SuspensionWatch } from '../utils/clock';
+import type { Clock, SuspensionDetector } from '../utils/clock';
 import { HeldCalls } from '../utils/heldCalls';
 import { readDocument } from './readDocument';
 
@@ -30,7 +30,7 @@
   readonly zone: string;
   readonly readRouting: RoutingReader;
   readonly clock: Clock;
-  readonly suspension: SuspensionWatch;
+  readonly suspension: SuspensionDetector;
   readonly logger: Logger;
   readonly retryBounds: RetryBounds;
   /** All are on by default. */
--- a/src/relay/siteWatch.ts
+++ b/src/relay/siteWatch.ts
@@ -2,7 +2,7 @@
 import { SiteClient } from '../protocol/generated/beechlift';
 import type { WatchReply, WatchRequest } from '../protocol/generated/beechlift';
 import type { Logger } from '../telemetry/logger';
-import type { Clock, SuspensionWatch } from '../utils/clock';
+import type { Clock, SuspensionDetector } from '../utils/clock';
 import { Operation } from '../utils/operation';
 import type { RpcLink } from '../wire/rpcLink';
 import { LinkTable } from '../wire/linkTable';
@@ -34,7 +34,7 @@
   /** Returns the addresses of the replicas in the settings. */
   readonly readSeeds: () => readonly string[];
   readonly clock: Clock;
-  readonly suspension: SuspensionWatch;
+  readonly suspension: SuspensionDetector;
   readonly logger: Logger;
 }
 
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -11,33 +11,33 @@
 ) => void>>;
 
 /** Bytes of lines that wait for a reader who is slow; what comes beyond is dropped and counted. */
-const MAX_WAITING_BYTES = 1_048_576;
-const STANDARD_OUTPUT = 1;
+const MAX_BUFFERED_BYTES = 1_048_576;
+const STDOUT_FD = 1;
 
 /*
  * Guards the event loop against a reader of the logs who stops reading: standard output is a pipe,
  * whose writes would block. Lines are written beside the loop, and dropped beyond a bound.
  */
 const openOutput = () => pino.destination({
-  dest: STANDARD_OUTPUT, sync: false, maxLength: MAX_WAITING_BYTES,
+  dest: STDOUT_FD, sync: false, maxLength: MAX_BUFFERED_BYTES,
 });
 
 let output: ReturnType<typeof openOutput> | undefined;
 
-let dropped = 0;
+let droppedLines = 0;
 
-const useOutput = (): ReturnType<typeof openOutput> => {
+const getOutput = (): ReturnType<typeof openOutput> => {
   if (output) return output;
   output = openOutput();
   output.on('drop', () => {
-    dropped += 1;
+    droppedLines += 1;
   });
   process.on('exit', () => output?.flushSync());
   return output;
 };
 
 /** Lines that were dropped so far, as their reader was too slow. */
-export const countDroppedLines = (): number => dropped;
+export const countDroppedLines = (): number => droppedLines;
 
 /**
  * Makes a logger whose lines are JSON on standard output.
@@ -53,7 +53,7 @@
     messageKey: 'message',
     timestamp: pino.stdTimeFunctions.isoTime,
     formatters: { level: (label) => ({ level: label }) },
-  }, useOutput());
+  }, getOutput());
   return {
     debug: (message, fields = {}) => logger.debug(fields, message),
     info: (message, fields = {}) => logger.info(fields, message),
--- a/src/telemetry/tracing.ts
+++ b/src/telemetry/tracing.ts
@@ -65,12 +65,12 @@
     hop: HopName,
     parent: Context,
     attributes: HopAttributes = {},
-  ): { span: Span; below: Context } {
+  ): { span: Span; childContext: Context } {
     const tracer = this.provider?.getTracer('beechlift') ?? trace.getTracer('beechlift');
     const span = tracer.startSpan(hop, {
       kind: SpanKind.INTERNAL, attributes: { ...attributes, process: this.process },
     }, parent);
-    return { span, below: trace.setSpan(parent, span) };
+    return { span, childContext: trace.setSpan(parent, span) };
   }
 
   /** Writes what is left and stops. */
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -17,7 +17,7 @@
 export const PROCESS_START = 0;
 
 /** Largest drift between the clocks of one machine that is no sign of a suspension. */
-const MAX_DRIFT_MS = 100;
+const MAX_CLOCK_DRIFT_MS = 100;
 
 /**
  * Tells whether the machine may have been suspended.
@@ -30,28 +30,28 @@
  * const epoch = suspension.readEpoch(); // before asking for a lease
  * const isValid = clock.now() < until && suspension.readEpoch() === epoch;
  */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private epoch = 0;
 
-  private drift: number;
+  private offset: number;
 
   constructor(
     private readonly clock: Clock = systemClock,
     // eslint-disable-next-line no-restricted-globals -- compared with the monotonic clock alone
     private readonly readTimeOfDay: () => number = Date.now,
   ) {
-    this.drift = this.measureDrift();
+    this.offset = this.measureOffset();
   }
 
   /** A number that grows each time the machine may have been suspended. */
   readEpoch(): number {
-    const drift = this.measureDrift();
-    if (Math.abs(drift - this.drift) > MAX_DRIFT_MS) this.epoch += 1;
-    this.drift = drift;
+    const offset = this.measureOffset();
+    if (Math.abs(offset - this.offset) > MAX_CLOCK_DRIFT_MS) this.epoch += 1;
+    this.offset = offset;
     return this.epoch;
   }
 
-  private measureDrift(): number {
+  private measureOffset(): number {
     return this.readTimeOfDay() - this.clock.now();
   }
 }
--- a/src/utils/heldCalls.ts
+++ b/src/utils/heldCalls.ts
@@ -5,13 +5,13 @@
  * await held.hold(250); // until `held.release()`, 250 ms at most
  */
 export class HeldCalls {
-  private readonly waiting = new Set<{ end: () => void }>();
+  private readonly heldCalls = new Set<{ end: () => void }>();
 
   private timer: NodeJS.Timeout | undefined;
 
   /** Calls that wait. */
   get size(): number {
-    return this.waiting.size;
+    return this.heldCalls.size;
   }
 
   /** Resolves when something changed, or after the time. */
@@ -21,10 +21,10 @@
       const timer = setTimeout(() => call.end(), ms);
       call.end = () => {
         clearTimeout(timer);
-        this.waiting.delete(call);
+        this.heldCalls.delete(call);
         resolve();
       };
-      this.waiting.add(call);
+      this.heldCalls.add(call);
     });
   }
 
@@ -32,7 +32,7 @@
   release(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
-    [...this.waiting].forEach(({ end }) => end());
+    [...this.heldCalls].forEach(({ end }) => end());
   }
 
   /** Lets all go within a time, once for all that changes until then. */
--- a/src/utils/loopTurns.ts
+++ b/src/utils/immediateQueue.ts
@@ -1,7 +1,7 @@
-import { TurnTask } from './turnTask';
+import { ImmediateTask } from './immediateTask';
 
 /** Pieces of work that are done in one turn of the loop, at most. */
-const PORTION = 8;
+const BATCH_SIZE = 8;
 
 /**
  * Spreads work that comes all at once over turns of the loop, so that timers and what comes from
@@ -13,21 +13,21 @@
  * @example
  * await turns.wait(); // then do one piece of the work
  */
-export class LoopTurns {
-  private readonly waiting: (() => void)[] = [];
+export class ImmediateQueue {
+  private readonly resolvers: (() => void)[] = [];
 
-  private readonly next = new TurnTask(() => this.run());
+  private readonly batchTask = new ImmediateTask(() => this.runBatch());
 
   /** Resolves when it is the caller's turn, in the order of the calls. */
   wait(): Promise<void> {
     return new Promise((resolve) => {
-      this.waiting.push(resolve);
-      this.next.schedule();
+      this.resolvers.push(resolve);
+      this.batchTask.schedule();
     });
   }
 
-  private run(): void {
-    this.waiting.splice(0, PORTION).forEach((resolve) => resolve());
-    if (this.waiting.length > 0) this.next.schedule();
+  private runBatch(): void {
+    this.resolvers.splice(0, BATCH_SIZE).forEach((resolve) => resolve());
+    if (this.resolvers.length > 0) this.batchTask.schedule();
   }
 }
--- a/src/utils/turnTask.ts
+++ b/src/utils/immediateTask.ts
@@ -6,7 +6,7 @@
  * flushing.schedule();
  * flushing.schedule(); // flushes once
  */
-export class TurnTask {
+export class ImmediateTask {
   private isScheduled = false;
 
   constructor(private readonly run: () => void) {}
--- a/src/utils/operation.ts
+++ b/src/utils/operation.ts
@@ -57,7 +57,7 @@
    * @example
    * operation.note('asked owner e2');
    */
-  note(step: string): void {
+  recordStep(step: string): void {
     if (this.steps.length < MAX_STEPS) this.steps.push(`${this.elapsedMs.toFixed(1)} ms: ${step}`);
   }
 
@@ -68,7 +68,7 @@
    * request.raw.on('close', () => operation.cancel('caller gone'));
    */
   cancel(reason: string): void {
-    this.note(reason);
+    this.recordStep(reason);
     this.controller.abort(new Error(reason));
   }
 }
--- a/src/utils/schemaValidator.ts
+++ b/src/utils/schemaValidator.ts
@@ -14,7 +14,7 @@
   code: { optimize: false },
 };
 
-const buildCompiled = (schema: object): ValidateFunction => (
+const compileSchema = (schema: object): ValidateFunction => (
   new Ajv(SCHEMA_OPTIONS).compile(schema));
 
 /**
@@ -29,7 +29,7 @@
 export const buildValidator = (schema: object): ((value: unknown) => SchemaFault[]) => {
   let compiled: ValidateFunction | undefined;
   return (value) => {
-    compiled ??= buildCompiled(schema);
+    compiled ??= compileSchema(schema);
     return listFaults(compiled, value);
   };
 };
--- a/src/utils/secretKey.ts
+++ b/src/utils/secretKey.ts
@@ -10,7 +10,7 @@
  * if (!isKeyOf(key, account.keyHashes)) throw new BeechliftError('unknownKey', '…');
  */
 export const isKeyOf = (key: string, hashes: readonly string[]): boolean => {
-  const own = hashKey(key);
-  const matches = hashes.map((hash) => timingSafeEqual(own, Buffer.from(hash, 'hex')));
+  const keyHash = hashKey(key);
+  const matches = hashes.map((hash) => timingSafeEqual(keyHash, Buffer.from(hash, 'hex')));
   return matches.includes(true);
 };
--- a/src/verify/verifyRecords.ts
+++ b/src/verify/verifyRecords.ts
@@ -6,7 +6,7 @@
 export type Invariant = 'dispatchedOnce' | 'wholeAndOwn' | 'notRunIsTrue' | 'sameForResend' | 'answered';
 
 /** An invariant that does not hold, with the story of the request. */
-export interface BrokenInvariant {
+export interface InvariantViolation {
   readonly invariant: Invariant;
   readonly identity: string;
   readonly message: string;
@@ -14,48 +14,48 @@
 }
 
 /** All that is known of one identity. */
-interface Case {
+interface RequestHistory {
   readonly identity: string;
   readonly sent: readonly SentRecord[];
   readonly answers: readonly AnswerRecord[];
   readonly dispatches: readonly DispatchRecord[];
 }
 
-type Check = (item: Case) => string | undefined;
+type InvariantCheck = (history: RequestHistory) => string | undefined;
 
 const OK = 200;
 
-const isWhole = ({ status }: AnswerRecord): boolean => status === OK;
+const isComplete = ({ status }: AnswerRecord): boolean => status === OK;
 
-const checks: Readonly<Record<Invariant, Check>> = {
+const invariantChecks: Readonly<Record<Invariant, InvariantCheck>> = {
   dispatchedOnce: ({ dispatches }) => {
     const streams = new Set(dispatches.map(({ engine, stream }) => `${engine}/${stream}`));
     return streams.size > 1 ? `dispatched ${streams.size} times` : undefined;
   },
   wholeAndOwn: ({ answers }) => {
-    const wrong = answers.find((answer) => isWhole(answer) && answer.text !== answer.expected);
-    return wrong && `answer of ${wrong.request} is not whole or belongs to another`;
+    const wrongAnswer = answers.find((answer) => isComplete(answer) && answer.text !== answer.expected);
+    return wrongAnswer && `answer of ${wrongAnswer.request} is not whole or belongs to another`;
   },
   notRunIsTrue: ({ answers, dispatches }) => {
-    const isUnanswered = !answers.some(isWhole);
-    const claimed = answers.some(({ run }) => run === 'notRun');
-    const latest = answers.at(-1)?.run === 'notRun';
-    return claimed && latest && isUnanswered && dispatches.length > 0
+    const isUnanswered = !answers.some(isComplete);
+    const wasReportedNotRun = answers.some(({ run }) => run === 'notRun');
+    const isLatestNotRun = answers.at(-1)?.run === 'notRun';
+    return wasReportedNotRun && isLatestNotRun && isUnanswered && dispatches.length > 0
       ? 'told "not run", but an engine has it'
       : undefined;
   },
   sameForResend: ({ answers }) => {
-    const texts = new Set(answers.filter(isWhole).map(({ text }) => text));
+    const texts = new Set(answers.filter(isComplete).map(({ text }) => text));
     return texts.size > 1 ? `${texts.size} different answers to one identity` : undefined;
   },
   answered: ({ sent, answers }) => {
-    const known = new Set(answers.map(({ request }) => request));
-    const open = sent.filter(({ request }) => !known.has(request));
-    return open.length > 0 ? `${open.length} sent and never answered` : undefined;
+    const answeredRequests = new Set(answers.map(({ request }) => request));
+    const unanswered = sent.filter(({ request }) => !answeredRequests.has(request));
+    return unanswered.length > 0 ? `${unanswered.length} sent and never answered` : undefined;
   },
 };
 
-const buildCase = (identity: string, records: readonly VerifyRecord[]): Case => {
+const buildHistory = (identity: string, records: readonly VerifyRecord[]): RequestHistory => {
   const sent = records.filter((record): record is SentRecord => (
     record.kind === 'sent' && record.identity === identity));
   const requests = new Set(sent.map(({ request }) => request));
@@ -70,7 +70,7 @@
   };
 };
 
-const tellStory = ({ sent, answers, dispatches }: Case): string[] => [
+const formatHistory = ({ sent, answers, dispatches }: RequestHistory): string[] => [
   ...sent.map(({ request }) => `sent ${request}`),
   ...dispatches.map(({ engine, stream }) => `dispatched to ${engine} as ${stream}`),
   ...answers.map(({ request, status, run }) => `answer of ${request}: ${status} ${run}`),
@@ -82,20 +82,20 @@
  * @example
  * const broken = verifyRecords(parseRecords(text));
  */
-export const verifyRecords = (records: readonly VerifyRecord[]): BrokenInvariant[] => {
+export const verifyRecords = (records: readonly VerifyRecord[]): InvariantViolation[] => {
   const identities = new Set(records
     .flatMap((record) => (record.kind === 'sent' ? [record.identity] : [])));
   return [...identities]
-    .map((identity) => buildCase(identity, records))
-    .flatMap((item) => Object.entries(checks).flatMap(([invariant, check]) => {
-      const message = check(item);
+    .map((identity) => buildHistory(identity, records))
+    .flatMap((history) => Object.entries(invariantChecks).flatMap(([invariant, check]) => {
+      const message = check(history);
       return message === undefined
         ? []
         : [{
           invariant: invariant as Invariant,
-          identity: item.identity,
+          identity: history.identity,
           message,
-          story: tellStory(item),
+          story: formatHistory(history),
         }];
     }));
 };
--- a/src/wire/channelOptions.ts
+++ b/src/wire/channelOptions.ts
@@ -6,9 +6,9 @@
  * connections that nobody uses any more. Each ping wakes both processes, also where hundreds of
  * entries stand by.
  */
-export type PingPace = 'brisk' | 'calm';
+export type KeepaliveMode = 'brisk' | 'calm';
 
-const PINGS: Record<PingPace, ChannelOptions> = {
+const KEEPALIVE_OPTIONS: Record<KeepaliveMode, ChannelOptions> = {
   brisk: { 'grpc.keepalive_time_ms': 1_000, 'grpc.keepalive_timeout_ms': 700 },
   calm: { 'grpc.keepalive_time_ms': 10_000, 'grpc.keepalive_timeout_ms': 3_000 },
 };
@@ -32,5 +32,5 @@
  * @example
  * const server = new Server(buildChannelOptions('calm'));
  */
-export const buildChannelOptions = (pace: PingPace): ChannelOptions => (
-  { ...SHARED_OPTIONS, ...PINGS[pace] });
+export const buildChannelOptions = (keepaliveMode: KeepaliveMode): ChannelOptions => (
+  { ...SHARED_OPTIONS, ...KEEPALIVE_OPTIONS[keepaliveMode] });
--- a/src/wire/linkTable.ts
+++ b/src/wire/linkTable.ts
@@ -1,5 +1,5 @@
 import type { Client } from '@grpc/grpc-js';
-import type { PingPace } from './channelOptions';
+import type { KeepaliveMode } from './channelOptions';
 import { RpcLink } from './rpcLink';
 import type { ClientConstructor } from './rpcLink';
 
@@ -15,14 +15,14 @@
 
   constructor(
     private readonly Constructor: ClientConstructor<Stub>,
-    private readonly pace: PingPace = 'brisk',
+    private readonly keepaliveMode: KeepaliveMode = 'brisk',
   ) {}
 
   /** The link to an address. */
   find(address: string): RpcLink<Stub> {
-    const known = this.links.get(address);
-    if (known) return known;
-    const link = new RpcLink(this.Constructor, address, this.pace);
+    const existing = this.links.get(address);
+    if (existing) return existing;
+    const link = new RpcLink(this.Constructor, address, this.keepaliveMode);
     this.links.set(address, link);
     return link;
   }
--- a/src/wire/rpcLink.ts
+++ b/src/wire/rpcLink.ts
@@ -7,7 +7,7 @@
 } from '@grpc/grpc-js';
 import type { Operation } from '../utils/operation';
 import { buildChannelOptions } from './channelOptions';
-import type { PingPace } from './channelOptions';
+import type { KeepaliveMode } from './channelOptions';
 
 /** Makes a client for an address. */
 export type ClientConstructor<Stub extends Client> = new (
@@ -48,11 +48,11 @@
 /** A connection to the peer, and how many calls and streams are under way on it. */
 interface PeerConnection<Stub> {
   readonly stub: Stub;
-  users: number;
+  activeCalls: number;
 }
 
 /** Statuses that tell of the connection and not of the peer. */
-const SUSPECT_STATUSES: readonly number[] = [status.DEADLINE_EXCEEDED, status.UNAVAILABLE];
+const CONNECTION_FAILURE_STATUSES: readonly number[] = [status.DEADLINE_EXCEEDED, status.UNAVAILABLE];
 
 /**
  * One peer over gRPC.
@@ -69,12 +69,12 @@
   private current: PeerConnection<Stub>;
 
   /** Those that nothing new goes over, while something is under way on them. */
-  private readonly suspects = new Set<PeerConnection<Stub>>();
+  private readonly replacedConnections = new Set<PeerConnection<Stub>>();
 
   constructor(
     private readonly Constructor: ClientConstructor<Stub>,
     readonly address: string,
-    private readonly pace: PingPace = 'brisk',
+    private readonly keepaliveMode: KeepaliveMode = 'brisk',
   ) {
     this.current = this.open();
   }
@@ -88,14 +88,14 @@
   ): Promise<Reply> {
     const metadata = new Metadata();
     Object.entries(headers).forEach(([key, value]) => metadata.set(key, value));
-    const used = this.take();
+    const connection = this.acquire();
     return new Promise((resolve, reject) => {
       // eslint-disable-next-line no-restricted-globals -- the library turns it into a span at once
       const deadline = Date.now() + operation.remainingMs;
-      const method = pickMethod(used.stub);
-      const call = method.call(used.stub, request, metadata, { deadline }, (error, reply) => {
-        if (error && SUSPECT_STATUSES.includes(error.code)) this.renew(used);
-        this.release(used);
+      const method = pickMethod(connection.stub);
+      const call = method.call(connection.stub, request, metadata, { deadline }, (error, reply) => {
+        if (error && CONNECTION_FAILURE_STATUSES.includes(error.code)) this.replaceConnection(connection);
+        this.release(connection);
         if (error) reject(error);
         else resolve(reply);
       });
@@ -116,21 +116,21 @@
     pickMethod: (stub: Stub) => StreamMethod<Message, Reply>,
     { take, close }: StreamListener<Reply>,
   ): ClientStream<Message> {
-    const used = this.take();
-    const call = pickMethod(used.stub).call(used.stub);
-    let isOver = false;
-    const settle = (): void => {
-      isOver = true;
-      this.release(used);
+    const connection = this.acquire();
+    const call = pickMethod(connection.stub).call(connection.stub);
+    let isClosed = false;
+    const finish = (): void => {
+      isClosed = true;
+      this.release(connection);
     };
     const end = (error?: Error): void => {
-      if (isOver) return;
-      if (error) this.renew(used);
-      settle();
+      if (isClosed) return;
+      if (error) this.replaceConnection(connection);
+      finish();
       close(error);
     };
     call.on('data', (reply: Reply) => {
-      if (isOver) return;
+      if (isClosed) return;
       try {
         take(reply);
       } catch (thrown) {
@@ -143,39 +143,39 @@
     call.on('end', () => end());
     return {
       write: (message) => {
-        if (!isOver) call.write(message);
+        if (!isClosed) call.write(message);
       },
       cancel: () => {
-        if (!isOver) settle();
+        if (!isClosed) finish();
         call.cancel();
       },
-      suspect: () => this.renew(used),
+      suspect: () => this.replaceConnection(connection),
     };
   }
 
   /** Closes all connections. */
   close(): void {
-    [this.current, ...this.suspects].forEach(({ stub }) => stub.close());
-    this.suspects.clear();
+    [this.current, ...this.replacedConnections].forEach(({ stub }) => stub.close());
+    this.replacedConnections.clear();
   }
 
   private open(): PeerConnection<Stub> {
     const stub = new this.Constructor(
       this.address,
       credentials.createInsecure(),
-      buildChannelOptions(this.pace),
+      buildChannelOptions(this.keepaliveMode),
     );
-    return { stub, users: 0 };
+    return { stub, activeCalls: 0 };
   }
 
-  private take(): PeerConnection<Stub> {
-    this.current.users += 1;
+  private acquire(): PeerConnection<Stub> {
+    this.current.activeCalls += 1;
     return this.current;
   }
 
-  private release(used: PeerConnection<Stub>): void {
-    used.users -= 1;
-    this.closeUnused(used);
+  private release(connection: PeerConnection<Stub>): void {
+    connection.activeCalls -= 1;
+    this.closeUnused(connection);
   }
 
   /**
@@ -184,15 +184,15 @@
    * Guards what is under way on the old one, whose peer may only be slow: the library ends it with
    * the next ping after a close, so the connection is closed once nothing uses it.
    */
-  private renew(suspect: PeerConnection<Stub>): void {
-    if (this.current !== suspect) return;
+  private replaceConnection(connection: PeerConnection<Stub>): void {
+    if (this.current !== connection) return;
     this.current = this.open();
-    this.suspects.add(suspect);
-    this.closeUnused(suspect);
+    this.replacedConnections.add(connection);
+    this.closeUnused(connection);
   }
 
   private closeUnused(connection: PeerConnection<Stub>): void {
-    if (connection.users > 0 || !this.suspects.delete(connection)) return;
+    if (connection.activeCalls > 0 || !this.replacedConnections.delete(connection)) return;
     connection.stub.close();
   }
 }
--- a/src/wire/rpcServer.ts
+++ b/src/wire/rpcServer.ts
@@ -5,7 +5,7 @@
 } from '@grpc/grpc-js';
 import { toBeechliftError } from '../errors/beechliftError';
 import { buildChannelOptions } from './channelOptions';
-import type { PingPace } from './channelOptions';
+import type { KeepaliveMode } from './channelOptions';
 
 /** What a handler may know of its call beside the request. */
 export interface CallContext {
@@ -30,7 +30,7 @@
 export const handleUnary = <Request, Reply>(
   handler: (request: Request, context: CallContext) => Promise<Reply> | Reply,
 ): handleUnaryCall<Request, Reply> => (call: ServerUnaryCall<Request, Reply>, callback) => {
-  let answered = false;
+  let isAnswered = false;
   const context: CallContext = {
     headers: call.metadata.getMap(),
     // The library also reports calls as cancelled that were answered and are over.
@@ -38,7 +38,7 @@
       if (call.cancelled) listener();
       else {
         call.on('cancelled', () => {
-          if (!answered) listener();
+          if (!isAnswered) listener();
         });
       }
     },
@@ -46,14 +46,14 @@
   Promise.resolve()
     .then(() => handler(call.request, context))
     .then((reply) => {
-      answered = true;
+      isAnswered = true;
       callback(null, reply);
     })
     .catch((thrown: unknown) => callback(toStatus(thrown)));
 };
 
 /** The near end of a stream in both directions. */
-export interface StreamEnd<Message, Reply> {
+export interface ServerStream<Message, Reply> {
   readonly send: (reply: Reply) => void;
   readonly end: () => void;
   /** Called for each message, and once when the stream is over. */
@@ -69,29 +69,29 @@
 /** Hears of a failure that ended a stream, beside the status that goes to the other end. */
 export type FailureListener = (error: Error) => void;
 
-const listenOnce = <Message, Reply>(
+const attachHandlers = <Message, Reply>(
   call: ServerDuplexStream<Message, Reply>,
   { take, close }: StreamHandlers<Message>,
-  noteFailure: FailureListener,
+  reportFailure: FailureListener,
 ): void => {
-  let isOver = false;
+  let isClosed = false;
   const end = (): void => {
-    if (isOver) return;
-    isOver = true;
+    if (isClosed) return;
+    isClosed = true;
     try {
       close();
     } catch (thrown) {
-      noteFailure(toBeechliftError(thrown));
+      reportFailure(toBeechliftError(thrown));
     }
     call.end();
   };
   // What is thrown in an event of the library would end the process.
   const fail = (thrown: unknown): void => {
-    noteFailure(toBeechliftError(thrown));
+    reportFailure(toBeechliftError(thrown));
     call.emit('error', toStatus(thrown));
   };
   call.on('data', (message: Message) => {
-    if (isOver) return;
+    if (isClosed) return;
     try {
       take(message);
     } catch (thrown) {
@@ -109,8 +109,8 @@
  * const handlers = { place: handleStream((stream) => stream.listen(openLine(stream))) };
  */
 export const handleStream = <Message, Reply>(
-  open: (stream: StreamEnd<Message, Reply>) => void,
-  noteFailure: FailureListener = () => undefined,
+  open: (stream: ServerStream<Message, Reply>) => void,
+  reportFailure: FailureListener = () => undefined,
 ): handleBidiStreamingCall<Message, Reply> => (call) => {
   try {
     open({
@@ -118,7 +118,7 @@
         if (call.writable) call.write(reply);
       },
       end: () => call.end(),
-      listen: (handlers) => listenOnce(call, handlers, noteFailure),
+      listen: (handlers) => attachHandlers(call, handlers, reportFailure),
     });
   } catch (thrown) {
     call.emit('error', toStatus(thrown));
@@ -136,8 +136,8 @@
 export class RpcServer {
   private readonly server: Server;
 
-  constructor(pace: PingPace = 'brisk') {
-    this.server = new Server(buildChannelOptions(pace));
+  constructor(keepaliveMode: KeepaliveMode = 'brisk') {
+    this.server = new Server(buildChannelOptions(keepaliveMode));
   }
 
   /** Adds a service. */
--- a/tests/control/document-packer.spec.ts
+++ b/tests/control/document-packer.spec.ts
@@ -5,7 +5,7 @@
 import { readDocument } from '../../src/relay/readDocument';
 import { RelaySite } from '../../src/relay/relaySite';
 import { makeLogger } from '../../src/telemetry/logger';
-import { SuspensionWatch } from '../../src/utils/clock';
+import { SuspensionDetector } from '../../src/utils/clock';
 import { makeRoute, makeRouting } from '../fakes/routings';
 
 /** Bytes that a link of 7 Mbit/s carries in a tenth of a second. */
@@ -78,7 +78,7 @@
       zone: 'a',
       readRouting: () => ({ routing: makeRouting({}), faults: [] }),
       clock,
-      suspension: new SuspensionWatch(clock, () => 0),
+      suspension: new SuspensionDetector(clock, () => 0),
       logger: makeLogger('test', 'silent'),
       retryBounds: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
     });
--- a/tests/core/suspended-leader.spec.ts
+++ b/tests/core/suspended-leader.spec.ts
@@ -5,7 +5,7 @@
 } from '../../src/core/log/replicatedLog';
 import type { LogEffect, LogState } from '../../src/core/log/logTypes';
 import type { Replica } from '../../src/protocol/generated/beechlift';
-import { SuspensionWatch } from '../../src/utils/clock';
+import { SuspensionDetector } from '../../src/utils/clock';
 
 const voters: Replica[] = ['a', 'b', 'c'].map((id) => ({ id, address: id, zone: '' }));
 
@@ -74,7 +74,7 @@
 describe('the detection of suspensions', () => {
   const makeWatch = () => {
     const times = { monotonic: 0, wall: 1_000_000 };
-    return { times, watch: new SuspensionWatch({ now: () => times.monotonic }, () => times.wall) };
+    return { times, watch: new SuspensionDetector({ now: () => times.monotonic }, () => times.wall) };
   };
 
   it('should detect that the wall clock advanced without the monotonic clock', () => {
--- a/tests/disk/record-file.spec.ts
+++ b/tests/disk/record-file.spec.ts
@@ -33,9 +33,9 @@
     files.failAt = point;
     await expect(file.append([{ n: 3 }])).rejects.toMatchObject({ code: 'storageFailed' });
     files.restart(tornBytes);
-    const { file: again, records } = await openFile(files);
+    const { file: reopened, records } = await openFile(files);
     expect(records.slice(0, 2)).toEqual([{ n: 1 }, { n: 2 }]);
-    await again.append([{ n: 4 }]);
+    await reopened.append([{ n: 4 }]);
     files.restart();
     expect((await openFile(files)).records).toEqual([...records, { n: 4 }]);
   });
@@ -92,10 +92,10 @@
    */
   it('should not lose what is appended while it is rewritten', async () => {
     const { files, file } = await fillFile();
-    const kept = [{ n: 7 }];
+    const replacement = [{ n: 7 }];
     const first = file.append([{ n: 3 }]);
-    const rewritten = file.replace(() => kept);
-    kept.push({ n: 8 });
+    const rewritten = file.replace(() => replacement);
+    replacement.push({ n: 8 });
     const second = file.append([{ n: 8 }]);
     await Promise.all([first, rewritten, second]);
     files.restart();
--- a/tests/fakes/fakeReplicas.ts
+++ b/tests/fakes/fakeReplicas.ts
@@ -2,7 +2,7 @@
 import type { WatchRequest } from '../../src/protocol/generated/beechlift';
 import { HeldCalls } from '../../src/utils/heldCalls';
 import { handleStream, handleUnary, RpcServer } from '../../src/wire/rpcServer';
-import type { StreamEnd } from '../../src/wire/rpcServer';
+import type { ServerStream } from '../../src/wire/rpcServer';
 import { SilentProxy } from './silentProxy';
 
 const HOST = '127.0.0.1';
@@ -69,7 +69,7 @@
     };
     server.add(SiteService, {
       watch: handleUnary<WatchRequest, WatchReply>(answer),
-      keepWatch: handleStream((stream: StreamEnd<WatchRequest, WatchReply>) => stream.listen({
+      keepWatch: handleStream((stream: ServerStream<WatchRequest, WatchReply>) => stream.listen({
         take: (request) => {
           // As the leader: what is new to who asks is told at once.
           const isHeld = request.documentDigest !== '';
--- a/tests/fakes/holdingLeader.ts
+++ b/tests/fakes/holdingLeader.ts
@@ -4,7 +4,7 @@
 } from '../../src/protocol/generated/beechlift';
 import { HeldCalls } from '../../src/utils/heldCalls';
 import { handleStream, handleUnary, RpcServer } from '../../src/wire/rpcServer';
-import type { StreamEnd } from '../../src/wire/rpcServer';
+import type { ServerStream } from '../../src/wire/rpcServer';
 
 const HOST = '127.0.0.1';
 /** How often it says that it still holds what it was asked, in milliseconds. */
@@ -26,7 +26,7 @@
   async listen(): Promise<void> {
     this.server.add(SiteService, {
       watch: handleUnary<WatchRequest, WatchReply>((request) => this.answer(request)),
-      keepWatch: handleStream((stream: StreamEnd<WatchRequest, WatchReply>) => stream.listen({
+      keepWatch: handleStream((stream: ServerStream<WatchRequest, WatchReply>) => stream.listen({
         take: (request) => {
           this.answer(request)
             .then((reply) => stream.send(reply))
@@ -34,7 +34,7 @@
         },
         close: () => undefined,
       })),
-      place: handleStream((stream: StreamEnd<PlaceNews, PlaceDecisions>) => this.hold(stream)),
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => this.hold(stream)),
     });
     this.address = await this.server.listen(`${HOST}:0`);
   }
@@ -50,7 +50,7 @@
     return this.makeReply(this.address);
   }
 
-  private hold(stream: StreamEnd<PlaceNews, PlaceDecisions>): void {
+  private hold(stream: ServerStream<PlaceNews, PlaceDecisions>): void {
     let acknowledged = 0;
     const sign = setInterval(() => stream.send({ acknowledged, replies: [] }), SIGN_MS);
     this.signs.add(sign);
--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -15,7 +15,7 @@
 import { WorkerConnections } from '../../src/relay/workerConnections';
 import { WorkerPicker } from '../../src/relay/workerPicker';
 import { makeLogger } from '../../src/telemetry/logger';
-import { SuspensionWatch, systemClock } from '../../src/utils/clock';
+import { SuspensionDetector, systemClock } from '../../src/utils/clock';
 import { ScriptedServer } from './scriptedServer';
 import type { ServerScript } from './scriptedServer';
 
@@ -75,7 +75,7 @@
       zone: 'a',
       readRouting: () => ({ routing: this.routing, faults: [] }),
       clock: systemClock,
-      suspension: new SuspensionWatch(),
+      suspension: new SuspensionDetector(),
       logger: makeLogger('test', 'silent'),
       retryBounds: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
       mechanisms: makeMechanisms(off),
@@ -177,7 +177,7 @@
         leaseMs: LEASE_MS, workersEpoch: 'e', workersRevision: 1, entryCount: 1,
       }),
       ...news,
-    }, systemClock.now(), new SuspensionWatch().readEpoch());
+    }, systemClock.now(), new SuspensionDetector().readEpoch());
   }
 
   private async open(): Promise<void> {
--- a/tests/fakes/stoppingSite.ts
+++ b/tests/fakes/stoppingSite.ts
@@ -6,7 +6,7 @@
 import type { RunningRelay } from '../../src/relay/relayProcess';
 import type { RequestTokens, RawHeaders, RequestDialect } from '../../src/relay/requestDialect';
 import { makeLogger } from '../../src/telemetry/logger';
-import { SuspensionWatch, systemClock } from '../../src/utils/clock';
+import { SuspensionDetector, systemClock } from '../../src/utils/clock';
 import { readRouting, waitFor } from './controlSite';
 import { findFreeAddress } from './freeAddress';
 import { HoldingLeader } from './holdingLeader';
@@ -134,7 +134,7 @@
 
   /** Gives an entry its lease on the document. */
   grantLease({ site }: RunningRelay): void {
-    site.applyReply(this.makeReply(''), systemClock.now(), new SuspensionWatch().readEpoch());
+    site.applyReply(this.makeReply(''), systemClock.now(), new SuspensionDetector().readEpoch());
   }
 
   private async addEntry(): Promise<void> {
--- a/tests/http/closing-server.spec.ts
+++ b/tests/http/closing-server.spec.ts
@@ -8,9 +8,9 @@
 } from 'vitest';
 import { makeHttpServer } from '../../src/http/httpServer';
 
-const SOON_MS = 1_000;
+const CLOSE_LIMIT_MS = 1_000;
 /** More than is on its way at once to a caller that does not read. */
-const LONG_BYTES = 16_000_000;
+const LARGE_ANSWER_BYTES = 16_000_000;
 
 describe('a server that closes', () => {
   let app: FastifyInstance;
@@ -24,7 +24,7 @@
 
   beforeEach(async () => {
     app = makeHttpServer();
-    app.get('/long', async () => Buffer.alloc(LONG_BYTES));
+    app.get('/long', async () => Buffer.alloc(LARGE_ANSWER_BYTES));
     await app.listen({ host: '127.0.0.1', port: 0 });
   });
 
@@ -33,25 +33,25 @@
     const socket = await open();
     const startedAt = performance.now();
     const closed = app.close();
-    setTimeout(() => socket.destroy(), 2 * SOON_MS);
+    setTimeout(() => socket.destroy(), 2 * CLOSE_LIMIT_MS);
     await closed;
-    expect(performance.now() - startedAt).toBeLessThan(SOON_MS);
+    expect(performance.now() - startedAt).toBeLessThan(CLOSE_LIMIT_MS);
   });
 
   // A connection whose answer was ended counted as idle, though bytes of it still waited.
   it('should write the answers to the end that wait for a slow reader', async () => {
     const socket = await open();
     socket.write('GET /long HTTP/1.1\r\nhost: a\r\n\r\n');
-    await pause(SOON_MS / 4);
+    await pause(CLOSE_LIMIT_MS / 4);
     const closed = app.close();
-    await pause(SOON_MS / 4);
+    await pause(CLOSE_LIMIT_MS / 4);
     let bytes = 0;
     socket.on('error', () => undefined);
-    socket.on('data', (piece: Buffer) => {
-      bytes += piece.length;
+    socket.on('data', (chunk: Buffer) => {
+      bytes += chunk.length;
     });
     await once(socket, 'close');
     await closed;
-    expect(bytes).toBeGreaterThan(LONG_BYTES);
+    expect(bytes).toBeGreaterThan(LARGE_ANSWER_BYTES);
   });
 });
--- a/tests/relay/site-watch.spec.ts
+++ b/tests/relay/site-watch.spec.ts
@@ -7,7 +7,7 @@
 import { SiteWatch } from '../../src/relay/siteWatch';
 import { makeLogger } from '../../src/telemetry/logger';
 import type { Logger } from '../../src/telemetry/logger';
-import { SuspensionWatch, systemClock } from '../../src/utils/clock';
+import { SuspensionDetector, systemClock } from '../../src/utils/clock';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { waitFor } from '../fakes/controlSite';
 import { FakeReplicas, LEASE_MS } from '../fakes/fakeReplicas';
@@ -23,7 +23,7 @@
     readRouting: RoutingReader = () => ({ routing: makeRouting({}), faults: [] }),
     logger: Logger = makeLogger('test', 'silent'),
   ): RelaySite => {
-    const suspension = new SuspensionWatch();
+    const suspension = new SuspensionDetector();
     const site = new RelaySite({
       entryId: 'e1',
       callerAddress: '10.0.0.1:80',
--- a/tests/relay/watch-stream.spec.ts
+++ b/tests/relay/watch-stream.spec.ts
@@ -7,9 +7,9 @@
 import { WatchStream } from '../../src/relay/watchStream';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { handleStream, RpcServer } from '../../src/wire/rpcServer';
-import type { StreamEnd } from '../../src/wire/rpcServer';
+import type { ServerStream } from '../../src/wire/rpcServer';
 
-type Stream = StreamEnd<WatchRequest, WatchReply>;
+type Stream = ServerStream<WatchRequest, WatchReply>;
 
 const ask = (
   watchStream: WatchStream,
--- a/tests/relay/worker-picker.spec.ts
+++ b/tests/relay/worker-picker.spec.ts
@@ -9,7 +9,7 @@
 import type { WorkerNotice } from '../../src/relay/workerNotices';
 import { WorkerPicker } from '../../src/relay/workerPicker';
 import { makeLogger } from '../../src/telemetry/logger';
-import { SuspensionWatch } from '../../src/utils/clock';
+import { SuspensionDetector } from '../../src/utils/clock';
 import { makeRoute, makeRouting } from '../fakes/routings';
 
 const clock = { now: () => 0 };
@@ -22,7 +22,7 @@
 });
 
 const makeSite = (routing: Routing, workers: WorkerRecord[]): RelaySite => {
-  const suspension = new SuspensionWatch(clock, () => 0);
+  const suspension = new SuspensionDetector(clock, () => 0);
   const site = new RelaySite({
     entryId: 'e1',
     callerAddress: '',
--- a/tests/wire/failing-listeners.spec.ts
+++ b/tests/wire/failing-listeners.spec.ts
@@ -8,15 +8,15 @@
 import type { PlaceDecisions, PlaceNews } from '../../src/protocol/generated/beechlift';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { handleStream, RpcServer } from '../../src/wire/rpcServer';
-import type { StreamEnd } from '../../src/wire/rpcServer';
+import type { ServerStream } from '../../src/wire/rpcServer';
 
-const NEWS: PlaceNews = {
+const MESSAGE: PlaceNews = {
   number: 1, requests: [], reports: [], entryId: '', held: [], sightings: [], served: [],
 };
 const DECISIONS: PlaceDecisions = { acknowledged: 1, replies: [] };
-const GARBLED = Buffer.from([0x0a, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
+const MALFORMED_MESSAGE = Buffer.from([0x0a, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
 /** Long enough for a message there and back. */
-const SETTLE_MS = 200;
+const ROUND_TRIP_MS = 200;
 
 const failNow = (): never => {
   throw new Error('cannot take this in');
@@ -24,12 +24,12 @@
 
 /** Errors that would have ended the process. */
 const uncaught: Error[] = [];
-const noteUncaught = (error: Error): void => {
+const recordUncaught = (error: Error): void => {
   uncaught.push(error);
 };
 
 /** A stream whose messages are no records at all. */
-const sendGarbled = async (address: string): Promise<string> => {
+const sendMalformed = async (address: string): Promise<string> => {
   const client = new Client(address, credentials.createInsecure());
   const call = client.makeBidiStreamRequest<Buffer, Buffer>(
     SiteService.place.path,
@@ -40,8 +40,8 @@
     call.on('error', ({ message }) => resolve(message));
     call.on('data', () => undefined);
   });
-  call.write(GARBLED);
-  const reason = await Promise.race([ended, pause(SETTLE_MS, 'still open')]);
+  call.write(MALFORMED_MESSAGE);
+  const reason = await Promise.race([ended, pause(ROUND_TRIP_MS, 'still open')]);
   client.close();
   return reason;
 };
@@ -49,31 +49,31 @@
 describe('a stream whose listener fails', () => {
   let server: RpcServer;
   let link: RpcLink<SiteClient> | undefined;
-  let former: NodeJS.UncaughtExceptionListener[] = [];
+  let savedListeners: NodeJS.UncaughtExceptionListener[] = [];
 
   beforeEach(() => {
     server = new RpcServer();
     uncaught.length = 0;
-    former = process.listeners('uncaughtException');
+    savedListeners = process.listeners('uncaughtException');
     process.removeAllListeners('uncaughtException');
-    process.on('uncaughtException', noteUncaught);
+    process.on('uncaughtException', recordUncaught);
   });
 
   afterEach(() => {
     link?.close();
     server.close();
     process.removeAllListeners('uncaughtException');
-    former.forEach((listener) => process.on('uncaughtException', listener));
+    savedListeners.forEach((listener) => process.on('uncaughtException', listener));
   });
 
   const open = async (
-    takeNews: () => void,
+    handleMessage: () => void,
     listener: { take: () => void; close: (error: Error | undefined) => void },
   ) => {
     server.add(SiteService, {
-      place: handleStream((stream: StreamEnd<PlaceNews, PlaceDecisions>) => stream.listen({
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => stream.listen({
         take: () => {
-          takeNews();
+          handleMessage();
           stream.send(DECISIONS);
         },
         close: () => undefined,
@@ -89,7 +89,7 @@
   it('should end with a status that names the failure, and not the process that serves it', async () => {
     const close = vi.fn<(error: Error | undefined) => void>();
     const stream = await open(failNow, { take: () => undefined, close });
-    stream.write(NEWS);
+    stream.write(MESSAGE);
     await vi.waitFor(() => expect(close).toHaveBeenCalled());
     expect(close.mock.calls[0]?.[0]?.message).toMatch(/cannot take this in/);
     expect(uncaught).toEqual([]);
@@ -99,9 +99,9 @@
   it('should tell its owner, and not end the process that opened it', async () => {
     const close = vi.fn<(error: Error | undefined) => void>();
     const stream = await open(() => undefined, { take: failNow, close });
-    stream.write(NEWS);
+    stream.write(MESSAGE);
     await vi.waitFor(() => expect(close).toHaveBeenCalledOnce());
-    await pause(SETTLE_MS);
+    await pause(ROUND_TRIP_MS);
     expect(close.mock.calls[0]?.[0]?.message).toBe('cannot take this in');
     expect(close).toHaveBeenCalledOnce();
     expect(uncaught).toEqual([]);
@@ -110,11 +110,11 @@
   // A record that was garbled on its way.
   it('should refuse a record that cannot be decoded', async () => {
     server.add(SiteService, {
-      place: handleStream((stream: StreamEnd<PlaceNews, PlaceDecisions>) => (
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => (
         stream.listen({ take: () => stream.send(DECISIONS), close: () => undefined }))),
     });
     const address = await server.listen('127.0.0.1:0');
-    expect(await sendGarbled(address)).toMatch(/deserializing/);
+    expect(await sendMalformed(address)).toMatch(/deserializing/);
     expect(uncaught).toEqual([]);
   });
 
@@ -125,9 +125,9 @@
     const socket = connect({ host, port: Number(port) });
     socket.on('error', () => undefined); // Closed by the server.
     socket.write(Buffer.alloc(4_096, 0x7f));
-    await pause(SETTLE_MS);
+    await pause(ROUND_TRIP_MS);
     socket.resetAndDestroy();
-    await pause(SETTLE_MS);
+    await pause(ROUND_TRIP_MS);
     expect(uncaught).toEqual([]);
   });
 });
--- a/tests/wire/rpc-link.spec.ts
+++ b/tests/wire/rpc-link.spec.ts
@@ -9,12 +9,12 @@
 import { Operation } from '../../src/utils/operation';
 import { RpcLink } from '../../src/wire/rpcLink';
 import { handleStream, handleUnary, RpcServer } from '../../src/wire/rpcServer';
-import type { StreamEnd } from '../../src/wire/rpcServer';
+import type { ServerStream } from '../../src/wire/rpcServer';
 
 const ANSWER_MS = 300;
 /** Longer than a connection goes without a ping. */
-const SLOW_MS = 2_500;
-const PATIENCE_MS = 10_000;
+const SLOW_ANSWER_MS = 2_500;
+const CALL_TIMEOUT_MS = 10_000;
 
 describe('a link to a peer', () => {
   let server: RpcServer;
@@ -38,7 +38,7 @@
         await pause(ANSWER_MS);
         return WatchReply.fromPartial({ leaseMs: 7 });
       }),
-      place: handleStream((stream: StreamEnd<PlaceNews, PlaceDecisions>) => (
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => (
         stream.listen({ take: () => undefined, close: () => undefined }))),
     });
     const address = await server.listen('127.0.0.1:0');
@@ -64,7 +64,7 @@
   it('should let calls end that are under way beside one whose time is over', async () => {
     server.add(SiteService, {
       watch: handleUnary<WatchRequest, WatchReply>(async () => {
-        await pause(SLOW_MS);
+        await pause(SLOW_ANSWER_MS);
         return WatchReply.fromPartial({ leaseMs: 7 });
       }),
     });
@@ -75,9 +75,9 @@
       WatchRequest.fromPartial({}),
       new Operation({ timeoutMs }),
     );
-    const patient = [ask(PATIENCE_MS), pause(ANSWER_MS).then(() => ask(PATIENCE_MS))];
-    await expect(ask(SLOW_MS / 3)).rejects.toThrow('DEADLINE_EXCEEDED');
-    const answers = await Promise.all([...patient, ask(PATIENCE_MS)]);
+    const slowCalls = [ask(CALL_TIMEOUT_MS), pause(ANSWER_MS).then(() => ask(CALL_TIMEOUT_MS))];
+    await expect(ask(SLOW_ANSWER_MS / 3)).rejects.toThrow('DEADLINE_EXCEEDED');
+    const answers = await Promise.all([...slowCalls, ask(CALL_TIMEOUT_MS)]);
     expect(answers.map(({ leaseMs }) => leaseMs)).toEqual([7, 7, 7]);
   });
 });
