--- a/bench/benchEngine.ts
+++ b/bench/benchEngine.ts
@@ -1,6 +1,6 @@
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
-import type { StandInOptions } from '../tests/fakes/engineStandIn';
+import type { FakeEngineOptions } from '../tests/fakes/fakeEngine';
 import { findFreeAddress } from '../tests/fakes/freeAddress';
 import { waitUntil } from '../tests/fakes/testSite';
 import type { TestSite } from '../tests/fakes/testSite';
@@ -14,7 +14,7 @@
 /** Starts an engine and waits until the owner of its pool knows it. */
 export const startEngine = async (
   site: TestSite,
-  options: Partial<StandInOptions>,
+  options: Partial<FakeEngineOptions>,
 ): Promise<BenchEngine> => {
   const address = await findFreeAddress();
   const child = spawn(process.execPath, ['dist/engine.cjs', JSON.stringify({
--- a/bench/shedding.ts
+++ b/bench/shedding.ts
@@ -57,7 +57,7 @@
   const answers = await Promise.all(sends);
   await rig.close();
   const [served = 0, refused = 0] = [200, 503].map((status) => countStatus(answers, status));
-  const most = Math.max(...servers.map(({ mostInRest }) => mostInRest));
+  const most = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
   return `${rate}/s, ${shedding} of ${SERVERS} shed ${share}: served ${(served / answers.length).toFixed(3)}, refused ${(refused / answers.length).toFixed(3)}, most in a rest ${most}`;
 };
 
--- a/scripts/engine.ts
+++ b/scripts/engine.ts
@@ -1,9 +1,9 @@
 /** Runs one engine stand-in as a process of its own; its options are JSON in the first argument. */
-import { EngineStandIn } from '../tests/fakes/engineStandIn';
-import type { StandInOptions } from '../tests/fakes/engineStandIn';
+import { FakeEngine } from '../tests/fakes/fakeEngine';
+import type { FakeEngineOptions } from '../tests/fakes/fakeEngine';
 
-const options = JSON.parse(process.argv[2] ?? '{}') as StandInOptions;
-const engine = new EngineStandIn(options);
+const options = JSON.parse(process.argv[2] ?? '{}') as FakeEngineOptions;
+const engine = new FakeEngine(options);
 
 engine.start(options.port).catch((error: unknown) => {
   process.stderr.write(`${String(error)}\n`);
--- a/tests/control/acknowledgedModel.ts
+++ b/tests/control/acknowledgedModel.ts
@@ -2,7 +2,7 @@
 import type { LogState } from '../../src/core/log/logTypes';
 import type { LogMessage, Replica } from '../../src/protocol/generated/beechlift';
 import { Operation } from '../../src/utils/operation';
-import type { WriteFate } from '../fakes/powerLossFiles';
+import type { UnsyncedWriteState } from '../fakes/powerLossFileSystem';
 import { ModelMachine } from './modelMachine';
 import type { ReplicaProcess } from './modelMachine';
 
@@ -111,7 +111,7 @@
     await Promise.all(records.map((record, position) => (
       record.saveFounders(position < seeds.length ? founders : []))));
     this.machines.forEach((machine) => {
-      machine.files.isFast = false;
+      machine.files.isSyncImmediate = false;
       machine.start();
     });
     await this.runRounds(60, ROUND_MS);
@@ -331,7 +331,7 @@
     machine.replaceDisk();
   }
 
-  private drawFate(): WriteFate {
+  private drawFate(): UnsyncedWriteState {
     const draw = this.drawRandom();
     if (draw < 0.4) return 'missing';
     return draw < 0.7 ? 'torn' : 'present';
--- a/tests/control/hostile-entries.spec.ts
+++ b/tests/control/hostile-entries.spec.ts
@@ -135,7 +135,7 @@
     const started = await ControlSite.open(3);
     site = started;
     await Promise.all([0, 1, 2].map((position) => started.start(position, true)));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     let version = 0;
     let answers = 0;
     const publish = async (): Promise<number> => {
@@ -148,7 +148,7 @@
         .publish({ document, deadlineMs: 3_000, forwarded: false })).code;
     };
     await publish();
-    const address = started.readAddress(leader);
+    const address = started.getAddress(leader);
     link = new RpcLink(SiteClient, address);
     const used = link;
     const call = (name: 'watch' | 'announce' | 'meet', message: object) => used.call<object, object>(
--- a/tests/control/modelMachine.ts
+++ b/tests/control/modelMachine.ts
@@ -7,8 +7,8 @@
 import type { LogMessage, Replica } from '../../src/protocol/generated/beechlift';
 import { makeLogger } from '../../src/telemetry/logger';
 import type { Clock } from '../../src/utils/clock';
-import { PowerLossFiles } from '../fakes/powerLossFiles';
-import type { WriteFate } from '../fakes/powerLossFiles';
+import { PowerLossFileSystem } from '../fakes/powerLossFileSystem';
+import type { UnsyncedWriteState } from '../fakes/powerLossFileSystem';
 
 /** One process of a replica. */
 export interface ReplicaProcess {
@@ -33,7 +33,7 @@
 
 /** A machine with a disk, and the replica process that runs on it. */
 export class ModelMachine {
-  files = new PowerLossFiles();
+  files = new PowerLossFileSystem();
 
   replica: ReplicaProcess | undefined;
 
@@ -51,7 +51,7 @@
 
   /** Creates the identity on the disk, without waiting for syncs. */
   async prepareDisk(): Promise<ReplicaIdentity> {
-    this.files.isFast = true;
+    this.files.isSyncImmediate = true;
     const identity = new ReplicaIdentity(this.files, FOLDER);
     await identity.open();
     this.replicaId = identity.id;
@@ -74,7 +74,7 @@
     this.starts += 1;
   }
 
-  cutPower(drawFate: () => WriteFate): void {
+  cutPower(drawFate: () => UnsyncedWriteState): void {
     this.kill();
     this.files.cutPower(drawFate);
   }
@@ -83,7 +83,7 @@
   replaceDisk(): void {
     this.kill();
     this.replicaId = '';
-    this.files = new PowerLossFiles();
+    this.files = new PowerLossFileSystem();
   }
 
   compact(): void {
--- a/tests/control/routed-site.spec.ts
+++ b/tests/control/routed-site.spec.ts
@@ -18,7 +18,7 @@
     site = await ControlSite.open(count);
     const started = site;
     await Promise.all([0, 1, 2].map((position) => started.start(position, true)));
-    await started.waitLeader();
+    await started.waitForLeader();
     return started;
   };
 
@@ -39,14 +39,14 @@
     const started = await ControlSite.open(3);
     site = started;
     const starting = started.start(0, true);
-    const link = new RpcLink(SiteClient, started.readAddress(0));
+    const link = new RpcLink(SiteClient, started.getAddress(0));
     const ask = () => new WatchStream(link).sendRequest(WatchRequest.fromPartial({ entryId: 'e1' }), 1_000);
     const isRefused = async () => /still looking/.test(await ask().then(() => '', String));
     await waitFor(isRefused, 'it is reached and looks for the others');
     link.close();
     await Promise.all([1, 2].map((position) => started.start(position, true)));
     await starting;
-    await started.waitLeader();
+    await started.waitForLeader();
   });
 
   // A follower that failed to apply one reply of the leader stopped following. It missed all later
@@ -116,10 +116,10 @@
   it('should readmit a replica with an empty disk, and lose no accepted change', async () => {
     const started = await found();
     await publish(0, formatDocument(5));
-    const leader = await started.waitLeader();
-    await started.dropDisk(leader);
+    const leader = await started.waitForLeader();
+    await started.eraseDisk(leader);
     await started.start(leader, false);
-    await started.waitLeader();
+    await started.waitForLeader();
     await waitFor(() => {
       const { voters, learners } = started.findNode(leader).runner.state.replicas;
       const own = started.findNode(leader).runner.state.id;
@@ -127,7 +127,7 @@
     }, 'the newborn votes');
     const others = [0, 1, 2].filter((position) => position !== leader);
     await started.stop(others[0] ?? 0);
-    await started.waitLeader();
+    await started.waitForLeader();
     expect((await started.findNode(leader).readLatestDocument()).version).toBe(5);
     expect((await publish(leader, formatDocument(6))).code).toBe(0);
   });
@@ -136,9 +136,9 @@
   it('should replace a lost replica by a new one at another address', async () => {
     const started = await found(4);
     await publish(0, formatDocument(5));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     const gone = [0, 1, 2].find((position) => position !== leader) ?? 0;
-    await started.dropDisk(gone);
+    await started.eraseDisk(gone);
     await started.start(3, false);
     await waitFor(() => {
       const { voters } = started.findNode(leader).runner.state.replicas;
@@ -151,14 +151,14 @@
   it('should come back with what it knew after all processes ended at once', async () => {
     const started = await found();
     await publish(0, formatDocument(7));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     await started.findNode(leader).announce(WorkerAnnouncement.fromPartial({
       workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready', sequence: 1,
     }));
     await pause(900);
     await Promise.all([0, 1, 2].map((position) => started.stop(position)));
     await Promise.all([0, 1, 2].map((position) => started.start(position, false)));
-    const next = await started.waitLeader();
+    const next = await started.waitForLeader();
     const reply = await started.findNode(next)
       .watch(WatchRequest.fromPartial({ entryId: 'e1', state: 'active' }));
     expect(reply.documentVersion).toBe(7);
@@ -170,15 +170,15 @@
   it('should recover the records that one replica cached if another one leads', async () => {
     const started = await found();
     await publish(0, formatDocument(7));
-    const leader = started.findNode(await started.waitLeader());
+    const leader = started.findNode(await started.waitForLeader());
     await leader.announce(WorkerAnnouncement.fromPartial({
       workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready', sequence: 1,
     }));
-    await waitFor(() => started.holdsFile('workers.log', 'w1'), 'all replicas remember it');
-    await started.restartForgetful('workers.log');
+    await waitFor(() => started.hasTextInAllFiles('workers.log', 'w1'), 'all replicas remember it');
+    await started.restartWithOneCopy('workers.log');
     // Repeated until the leader answers: a lease may lapse before the watch request arrives.
     const askLeader = async (): Promise<WatchReply> => {
-      const reply = await started.findNode(await started.waitLeader())
+      const reply = await started.findNode(await started.waitForLeader())
         .watch(WatchRequest.fromPartial({ entryId: 'e1', state: 'active' }));
       return reply.leaseMs > 0 ? reply : askLeader();
     };
@@ -193,7 +193,7 @@
     const first = started.start(0, true);
     await pause(100);
     await Promise.all([started.start(1, true), started.start(2, true), first]);
-    await started.waitLeader();
+    await started.waitForLeader();
     const sets = [0, 1, 2].map((position) => (
       started.findNode(position).runner.state.replicas.voters.map(({ id }) => id).sort().join(' ')));
     expect(new Set(sets).size).toBe(1);
@@ -202,7 +202,7 @@
   it('should answer a held watch request at once when a backend server leaves', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
-    const leader = started.findNode(await started.waitLeader());
+    const leader = started.findNode(await started.waitForLeader());
     const announce = (state: string, sequence: number) => (
       leader.announce(WorkerAnnouncement.fromPartial({
         workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 6, state, sequence,
@@ -232,7 +232,7 @@
   it('should place requests while its lease has lapsed and no other replica leads', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     const node = started.findNode(leader);
     await node.announce(WorkerAnnouncement.fromPartial({
       workerId: 'w1', service: 'rooms', address: '10.0.0.1:80', zone: 'a', slots: 1, state: 'ready', sequence: 1,
@@ -261,7 +261,7 @@
   it('should not forward announcements to itself while its lease has lapsed', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     const node = started.findNode(leader);
     const others = [0, 1, 2].filter((position) => position !== leader);
     await Promise.all(others.map((position) => started.stop(position)));
@@ -277,7 +277,7 @@
   it('should not forward an announcement that another replica forwarded', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
-    const leader = await started.waitLeader();
+    const leader = await started.waitForLeader();
     const follower = started.findNode((leader + 1) % 3);
     const leaderAnnounce = vi.spyOn(started.findNode(leader), 'announce');
     const announcement = WorkerAnnouncement.fromPartial({
@@ -296,7 +296,7 @@
   it('should send its entry list to an entry that holds the list of another leader', async () => {
     const started = await found();
     await publish(0, formatDocument(2));
-    const leader = started.findNode(await started.waitLeader());
+    const leader = started.findNode(await started.waitForLeader());
     const ask = (entriesEpoch: string, entriesRevision: number) => (
       leader.watch(WatchRequest.fromPartial({
         entryId: 'e1', callerAddress: 'e1:80', zone: 'a', state: 'active', entriesEpoch, entriesRevision,
--- a/tests/disk/record-file.spec.ts
+++ b/tests/disk/record-file.spec.ts
@@ -3,8 +3,8 @@
 import { RecordFile } from '../../src/disk/recordFile';
 import { MemoryFileSystem } from '../fakes/memoryFileSystem';
 import type { FailurePoint } from '../fakes/memoryFileSystem';
-import { PowerLossFiles } from '../fakes/powerLossFiles';
-import type { WriteFate } from '../fakes/powerLossFiles';
+import { PowerLossFileSystem } from '../fakes/powerLossFileSystem';
+import type { UnsyncedWriteState } from '../fakes/powerLossFileSystem';
 
 const PATH = 'data/log';
 
@@ -69,7 +69,7 @@
    */
   it('should refuse a damaged record that sound ones follow', async () => {
     const { files } = await fillFile();
-    files.breakByte(PATH, 12);
+    files.corruptByte(PATH, 12);
     await expect(openFile(files)).rejects.toMatchObject({ code: 'logCorrupt' });
   });
 
@@ -118,17 +118,17 @@
   // Power is lost while several records are written; of the two writes that they take the first is
   // missing and the second is there, and the replica refuses to start ever after.
   it('should cut a batch off whose beginning is missing', async () => {
-    const files = new PowerLossFiles();
-    files.isFast = true;
+    const files = new PowerLossFileSystem();
+    files.isSyncImmediate = true;
     const file = new RecordFile(files, PATH);
     await file.open();
     await file.append([{ n: 1 }]);
-    files.isFast = false;
+    files.isSyncImmediate = false;
     file.append([{ text: 'a'.repeat(600_000) }, { n: 3 }]).catch(() => undefined);
     await setImmediate();
-    const fates: WriteFate[] = ['present', 'missing', 'present'];
+    const fates: UnsyncedWriteState[] = ['present', 'missing', 'present'];
     files.cutPower(() => fates.shift() ?? 'present');
-    files.isFast = true;
+    files.isSyncImmediate = true;
     expect(await new RecordFile(files, PATH).open()).toEqual([{ n: 1 }]);
   });
 });
--- a/tests/fakes/controlSite.ts
+++ b/tests/fakes/controlSite.ts
@@ -24,12 +24,12 @@
 /** Waits for a condition, 15 s at most. */
 export const waitFor = async (
   isDone: () => boolean | Promise<boolean>,
-  what: string,
+  description: string,
 ): Promise<void> => {
-  const until = performance.now() + 15_000;
+  const deadline = performance.now() + 15_000;
   const poll = async (): Promise<void> => {
     if (await isDone()) return;
-    if (performance.now() > until) throw new Error(`not within 15 s: ${what}`);
+    if (performance.now() > deadline) throw new Error(`not within 15 s: ${description}`);
     await pause(20);
     await poll();
   };
@@ -59,8 +59,8 @@
     this.running.set(position, await startRoutedControl({
       settings: {
         zone: 'a',
-        address: this.readAddress(position),
-        readSeeds: () => [0, 1, 2].map((seed) => this.readAddress(seed)),
+        address: this.getAddress(position),
+        readSeeds: () => [0, 1, 2].map((seed) => this.getAddress(seed)),
         isFirstStart,
         dataFolder: folder,
         bounds: { revokeMs: 5_000, applyMs: 5_000 },
@@ -83,32 +83,32 @@
     const positions = [...this.running.keys()];
     await Promise.all(positions.map((position) => this.stop(position)));
     await Promise.all(positions.map((position) => this.start(position, false)));
-    await this.waitLeader();
+    await this.waitForLeader();
   }
 
   /** The same where one replica alone still has a file, which starts some time after the others. */
-  async restartForgetful(name: string, lateMs = 0): Promise<void> {
-    const [keeper = 0, ...others] = [...this.running.keys()];
-    await Promise.all([keeper, ...others].map((position) => this.stop(position)));
-    await Promise.all(others.map((position) => this.dropFile(position, name)));
+  async restartWithOneCopy(name: string, delayMs = 0): Promise<void> {
+    const [holder = 0, ...others] = [...this.running.keys()];
+    await Promise.all([holder, ...others].map((position) => this.stop(position)));
+    await Promise.all(others.map((position) => this.removeFile(position, name)));
     await Promise.all(others.map((position) => this.start(position, false)));
-    await pause(lateMs);
-    await Promise.all([this.waitLeader(), this.start(keeper, false)]);
+    await pause(delayMs);
+    await Promise.all([this.waitForLeader(), this.start(holder, false)]);
   }
 
   /** Whether a file of each replica holds a text. */
-  async holdsFile(name: string, text: string): Promise<boolean> {
+  async hasTextInAllFiles(name: string, text: string): Promise<boolean> {
     const contents = await Promise.all([...this.folders.values()].map((folder) => (
       readFile(join(folder, name), 'utf8').catch(() => ''))));
     return contents.every((content) => content.includes(text));
   }
 
   /** Loses a file of a replica that is stopped. */
-  async dropFile(position: number, name: string): Promise<void> {
+  async removeFile(position: number, name: string): Promise<void> {
     await rm(join(this.folders.get(position) ?? '', name));
   }
 
-  async dropDisk(position: number): Promise<void> {
+  async eraseDisk(position: number): Promise<void> {
     await this.stop(position);
     await rm(this.folders.get(position) ?? '', { recursive: true, force: true });
     this.folders.delete(position);
@@ -124,7 +124,7 @@
     return [...this.running].find(([, { node }]) => node.isLeading)?.[0];
   }
 
-  async waitLeader(): Promise<number> {
+  async waitForLeader(): Promise<number> {
     await waitFor(() => this.findLeader() !== undefined, 'a leader');
     return this.findLeader() ?? -1;
   }
@@ -135,7 +135,7 @@
       rm(folder, { recursive: true, force: true }))));
   }
 
-  readAddress(position: number): string {
+  getAddress(position: number): string {
     return this.addresses[position] ?? '';
   }
 }
--- a/tests/fakes/engineModel.ts
+++ b/tests/fakes/engineModel.ts
@@ -33,9 +33,9 @@
 
 const CHARACTERS_PER_TOKEN = 4;
 const PREFIX_TOKENS = [64, 256, 1_024, 4_096];
-const BATCH_COST = 0.05;
+const BATCH_SLOWDOWN = 0.05;
 const SLOW_FACTOR = 8;
-const MAX_KEPT_STREAMS = 5_000;
+const MAX_STORED_STREAMS = 5_000;
 
 const hashText = (text: string): string => createHash('sha1').update(text).digest('base64url');
 
@@ -54,7 +54,7 @@
 
   readonly streams = new Map<string, EngineStream>();
 
-  readonly barred = new Set<string>();
+  readonly cancelledIds = new Set<string>();
 
   /** Prompt tokens prefilled, cached ones left out. */
   prefilledTokens = 0;
@@ -81,7 +81,7 @@
   add(stream: EngineStream): void {
     this.streams.set(stream.id, stream);
     const [oldest] = this.streams.keys();
-    if (this.streams.size > MAX_KEPT_STREAMS && oldest) this.streams.delete(oldest);
+    if (this.streams.size > MAX_STORED_STREAMS && oldest) this.streams.delete(oldest);
     if (this.traits.isPrompt) {
       this.running.add(stream);
       this.addEvent(stream);
@@ -94,7 +94,7 @@
 
   /** Ends a stream early, and bars its id from now on. */
   cancel(id: string): 'neverSeen' | 'cancelled' | 'finished' {
-    this.barred.add(id);
+    this.cancelledIds.add(id);
     const stream = this.streams.get(id);
     if (!stream) return 'neverSeen';
     if (stream.done) return 'finished';
@@ -124,16 +124,16 @@
       this.schedule(20);
       return;
     }
-    const prefillMs = this.takeWaiting();
+    const prefillMs = this.admitNext();
     this.running.forEach((stream) => this.addEvent(stream));
     if (this.running.size === 0 && this.waiting.length === 0) return;
     const batch = Math.max(0, this.running.size - 1);
-    const slowdown = this.traits.isPrompt ? 1 : 1 + BATCH_COST * batch;
+    const slowdown = this.traits.isPrompt ? 1 : 1 + BATCH_SLOWDOWN * batch;
     const decodeMs = this.traits.decodeMs * slowdown;
     this.schedule((prefillMs + decodeMs) * (this.fault === 'slow' ? SLOW_FACTOR : 1));
   }
 
-  private takeWaiting(): number {
+  private admitNext(): number {
     if (this.running.size >= this.traits.slots) return 0;
     const stream = this.waiting.shift();
     if (!stream || stream.done) return 0;
@@ -154,10 +154,10 @@
     [...this.cache.keys()]
       .slice(0, Math.max(0, this.cache.size - this.traits.cacheSize))
       .forEach((key) => this.cache.delete(key));
-    const fresh = Math.max(0, prompt.length / CHARACTERS_PER_TOKEN - cached);
-    this.prefilledTokens += fresh;
-    stream.prefilled = fresh;
-    return fresh * this.traits.prefillMs;
+    const uncachedTokens = Math.max(0, prompt.length / CHARACTERS_PER_TOKEN - cached);
+    this.prefilledTokens += uncachedTokens;
+    stream.prefilled = uncachedTokens;
+    return uncachedTokens * this.traits.prefillMs;
   }
 
   private addEvent(stream: EngineStream): void {
--- a/tests/fakes/engineStandIn.ts
+++ b/tests/fakes/fakeEngine.ts
@@ -18,7 +18,7 @@
 }
 
 /** What a stand-in is started with. */
-export type StandInOptions = EngineTraits & OrderTraits & {
+export type FakeEngineOptions = EngineTraits & OrderTraits & {
   readonly id: string;
   readonly pool: string;
   readonly hardware: string;
@@ -60,7 +60,7 @@
  * A model engine that tests and benches put before the system: it knows no tiers and admits as they
  * come.
  */
-export class EngineStandIn {
+export class FakeEngine {
   readonly model: EngineModel;
 
   readonly incarnation = randomUUID();
@@ -76,9 +76,9 @@
   readonly orders: Order[] = [];
 
   /** Answers that ran when an order came: a real engine would cut them. */
-  cutByOrders = 0;
+  interruptedByOrders = 0;
 
-  carried: Order | undefined;
+  appliedOrder: Order | undefined;
 
   isLoading = false;
 
@@ -87,7 +87,7 @@
   private orderTraits: OrderTraits;
 
   /** Stream ids whose first byte has come. */
-  readonly arriving = new Set<string>();
+  readonly receivedIds = new Set<string>();
 
   /** Stream ids in the order in which they were dispatched here. */
   readonly dispatched: string[] = [];
@@ -98,9 +98,9 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  private turn = 0;
+  private announceCount = 0;
 
-  constructor(private readonly options: StandInOptions) {
+  constructor(private readonly options: FakeEngineOptions) {
     this.model = new EngineModel(options);
     this.orderTraits = options;
     this.server = createServer((incoming, response) => {
@@ -137,8 +137,8 @@
     this.loads.push({ at: now, load: this.model.load });
     if (this.loads.length > 600) this.loads.shift();
     const reading = this.loads.findLast(({ at }) => at <= now - loadLagMs);
-    this.turn += 1;
-    const entry = entries[this.turn % entries.length];
+    this.announceCount += 1;
+    const entry = entries[this.announceCount % entries.length];
     const response = await request(`http://${entry}/v1/announce`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
@@ -150,7 +150,7 @@
         models: this.isLoading ? [] : models,
         slots,
         kind: 'model',
-        orderDigest: this.carried?.digest ?? '',
+        orderDigest: this.appliedOrder?.digest ?? '',
         incarnation: this.incarnation,
         address: this.address,
         zone: 'az-1',
@@ -201,7 +201,7 @@
       response.end(JSON.stringify({ state, incarnation: this.incarnation }));
     },
     'PUT v1/order': (incoming, response, body) => {
-      response.writeHead(this.takeOrder(JSON.parse(body) as Order)).end();
+      response.writeHead(this.applyOrder(JSON.parse(body) as Order)).end();
     },
     'POST v1/fault': (incoming, response, body) => {
       this.model.fault = (JSON.parse(body) as { kind: EngineFault }).kind;
@@ -220,25 +220,25 @@
   };
 
   /** From now on it takes orders. */
-  setOrders(traits: OrderTraits): void {
+  setOrderTraits(traits: OrderTraits): void {
     this.orderTraits = traits;
   }
 
   /** As after a start with an empty memory. */
-  forgetOrders(): void {
+  resetOrders(): void {
     this.orders.length = 0;
-    this.carried = undefined;
+    this.appliedOrder = undefined;
   }
 
-  private takeOrder(order: Order): number {
+  private applyOrder(order: Order): number {
     if (order.fencing < this.fencing && !this.orderTraits.ignoresFencing) return 409;
     this.fencing = order.fencing;
     if (this.orders.at(-1)?.digest === order.digest) return 200;
     this.orders.push(order);
-    this.cutByOrders += this.model.load;
+    this.interruptedByOrders += this.model.load;
     this.isLoading = true;
     setTimeout(() => {
-      this.carried = order;
+      this.appliedOrder = order;
       this.isLoading = false;
     }, this.orderTraits.loadMs);
     return 202;
@@ -251,14 +251,14 @@
     isChat: boolean,
   ): void {
     const id = String(incoming.headers['beechlift-stream'] ?? randomUUID());
-    this.arriving.add(id);
+    this.receivedIds.add(id);
     const { arriveMs } = this.options;
     if (arriveMs) setTimeout(() => this.accept(id, response, text, isChat), arriveMs);
     else this.accept(id, response, text, isChat);
   }
 
   private accept(id: string, response: ServerResponse, text: string, isChat: boolean): void {
-    if (this.model.barred.has(id) || this.model.streams.has(id)) {
+    if (this.model.cancelledIds.has(id) || this.model.streams.has(id)) {
       response.writeHead(409).end();
       return;
     }
@@ -279,7 +279,7 @@
     this.dispatches.push({
       kind: 'dispatch', engine: this.options.id, stream: id, prompt: stream.prompt,
     });
-    this.noteRecord({
+    this.appendRecord({
       kind: 'dispatch', engine: this.options.id, stream: id, prompt: stream.prompt.slice(0, 200),
     });
     this.model.add(stream);
@@ -307,7 +307,7 @@
     push();
   }
 
-  private noteRecord(line: object): void {
+  private appendRecord(line: object): void {
     if (this.options.recordFile !== '') appendFileSync(this.options.recordFile, `${JSON.stringify(line)}\n`);
   }
 }
--- a/tests/fakes/fakeReplicas.ts
+++ b/tests/fakes/fakeReplicas.ts
@@ -13,7 +13,7 @@
 /** Replicas that hold a question until they know a leader, as long as who asks allows. */
 export class FakeReplicas {
   /** Questions that any of them got. */
-  questions = 0;
+  watchRequestCount = 0;
 
   /** Milliseconds for which the latest question allowed to be held. */
   holdMs = 0;
@@ -30,15 +30,15 @@
   readonly proxies: SilentProxy[] = [];
 
   /** Pieces of bytes between the entry and all replicas. */
-  countPieces(): number {
-    return this.proxies.reduce((sum, { pieces }) => sum + pieces, 0);
+  countChunks(): number {
+    return this.proxies.reduce((sum, { chunkCount: chunkCount }) => sum + chunkCount, 0);
   }
 
   async listen(): Promise<void> {
     this.addresses = await Promise.all(Array.from({ length: REPLICAS }, () => this.serve()));
   }
 
-  lead(position: number): void {
+  setLeader(position: number): void {
     this.leader = this.addresses[position] ?? '';
     this.held.release();
   }
@@ -54,7 +54,7 @@
     this.servers.push(server);
     let own = '';
     const answer = async ({ holdMs }: WatchRequest): Promise<WatchReply> => {
-      this.questions += 1;
+      this.watchRequestCount += 1;
       this.holdMs = holdMs;
       if (this.leader === '') await this.held.hold(holdMs);
       const isLeading = this.leader === own;
--- a/tests/fakes/serviceStandIn.ts
+++ b/tests/fakes/fakeService.ts
@@ -6,7 +6,7 @@
 import { readBody } from './readBody';
 
 /** A plain service beside the engines, which notes every call that reaches it. */
-export class ServiceStandIn {
+export class FakeService {
   /** Method, path and body of each call. */
   readonly calls: string[] = [];
 
--- a/tests/fakes/fragileServer.ts
+++ b/tests/fakes/fragileServer.ts
@@ -13,13 +13,13 @@
 export const STREAM_TEXT = 'stream';
 /** A body with this text is answered late. */
 export const SLOW_TEXT = 'slow';
-const RUN_MS = 30;
-const SLOW_RUN_MS = 900;
+const ANSWER_MS = 30;
+const SLOW_ANSWER_MS = 900;
 const DOWN_MS = 500;
 const ANNOUNCE_MS = 200;
 
 /** Takes what a server says of itself. */
-export type AnnouncementTaker = (said: WorkerAnnouncement) => Promise<unknown>;
+export type AnnouncementSender = (announcement: WorkerAnnouncement) => Promise<unknown>;
 
 /** A backend server that ends under a marked request; its next start comes a moment later. */
 export class FragileServer {
@@ -27,15 +27,15 @@
   readonly fatalTimes: number[] = [];
 
   /** When it ended, monotonic milliseconds. */
-  readonly endTimes: number[] = [];
+  readonly crashTimes: number[] = [];
 
   private server: Server | undefined;
 
-  private starts = 0;
+  private startCount = 0;
 
   private sequence = 0;
 
-  private announcing: NodeJS.Timeout | undefined;
+  private announceTimer: NodeJS.Timeout | undefined;
 
   private isClosed = false;
 
@@ -43,7 +43,7 @@
     private readonly name: string,
     private readonly address: string,
     private readonly service: string,
-    private readonly announce: AnnouncementTaker,
+    private readonly announce: AnnouncementSender,
     private readonly keepsId: boolean,
   ) {}
 
@@ -51,7 +51,7 @@
   static async start(
     name: string,
     service: string,
-    announce: AnnouncementTaker,
+    announce: AnnouncementSender,
     keepsId = false,
   ): Promise<FragileServer> {
     const server = new FragileServer(name, await findFreeAddress(), service, announce, keepsId);
@@ -61,20 +61,20 @@
 
   close(): void {
     this.isClosed = true;
-    this.end();
+    this.closeServer();
   }
 
   /** Ends it as a crash does, for a reason that is no request's; it is back a moment later. */
   async crash(): Promise<void> {
     if (!this.server) return;
-    this.end();
-    this.endTimes.push(performance.now());
+    this.closeServer();
+    this.crashTimes.push(performance.now());
     await pause(DOWN_MS);
     if (!this.isClosed) await this.open();
   }
 
   private async open(): Promise<void> {
-    this.starts += 1;
+    this.startCount += 1;
     const born = Date.now();
     this.server = createServer((request, response) => {
       this.serve(request, response).catch(() => response.destroy());
@@ -83,23 +83,23 @@
     await new Promise<void>((resolve) => {
       this.server?.listen(Number(port), host, resolve);
     });
-    await this.say(born);
-    this.announcing = setInterval(() => {
-      this.say(born).catch(() => undefined); // Said again in a moment.
+    await this.sendAnnouncement(born);
+    this.announceTimer = setInterval(() => {
+      this.sendAnnouncement(born).catch(() => undefined); // Said again in a moment.
     }, ANNOUNCE_MS);
   }
 
-  private end(): void {
-    clearInterval(this.announcing);
+  private closeServer(): void {
+    clearInterval(this.announceTimer);
     this.server?.closeAllConnections();
     this.server?.close();
     this.server = undefined;
   }
 
-  private async say(born: number): Promise<void> {
+  private async sendAnnouncement(born: number): Promise<void> {
     this.sequence += 1;
     await this.announce(WorkerAnnouncement.fromPartial({
-      workerId: this.keepsId ? this.name : `${this.name}.${this.starts}`,
+      workerId: this.keepsId ? this.name : `${this.name}.${this.startCount}`,
       service: this.service,
       address: this.address,
       zone: 'a',
@@ -122,7 +122,7 @@
     const isStream = body.includes(STREAM_TEXT);
     const head = { 'x-id': request.headers['x-id'] ?? '' };
     if (isStream) response.writeHead(200, { ...head, 'content-type': 'text/event-stream' }).write('id: 1\ndata: x\n\n');
-    await pause(body.includes(SLOW_TEXT) ? SLOW_RUN_MS : RUN_MS);
+    await pause(body.includes(SLOW_TEXT) ? SLOW_ANSWER_MS : ANSWER_MS);
     if (server !== this.server) return;
     if (isFatal) {
       this.crash().catch(() => undefined); // Its port is held by nobody else.
--- a/tests/fakes/freeAddress.ts
+++ b/tests/fakes/freeAddress.ts
@@ -10,11 +10,11 @@
 const PORTS_PER_RANGE = 500;
 const RANGES = 38;
 
-const listenAt = (port: number, isHeld: boolean): Promise<boolean> => new Promise((resolve) => {
+const listenAt = (port: number, keepsListening: boolean): Promise<boolean> => new Promise((resolve) => {
   const server = createServer();
   server.once('error', () => resolve(false));
   server.listen(port, HOST, () => {
-    if (!isHeld) {
+    if (!keepsListening) {
       server.close(() => resolve(true));
       return;
     }
@@ -33,15 +33,15 @@
   return await listenAt(first, true) ? first : claimRange(range + 1);
 };
 
-let claimed: Promise<number> | undefined;
+let firstPort: Promise<number> | undefined;
 
-let taken = 0;
+let lastOffset = 0;
 
 /** An address of this test process's own range that nobody uses. */
 export const findFreeAddress = async (): Promise<string> => {
-  claimed ??= claimRange();
-  const first = await claimed;
-  taken = 1 + (taken % (PORTS_PER_RANGE - 1));
-  const port = first + taken;
+  firstPort ??= claimRange();
+  const first = await firstPort;
+  lastOffset = 1 + (lastOffset % (PORTS_PER_RANGE - 1));
+  const port = first + lastOffset;
   return await listenAt(port, false) ? `${HOST}:${port}` : findFreeAddress();
 };
--- a/tests/fakes/holdingLeader.ts
+++ b/tests/fakes/holdingLeader.ts
@@ -8,7 +8,7 @@
 
 const HOST = '127.0.0.1';
 /** How often it says that it still holds what it was asked, in milliseconds. */
-const SIGN_MS = 50;
+const KEEP_ALIVE_MS = 50;
 
 /** A leader of control that takes questions for places in, shows signs of life, and gives none. */
 export class HoldingLeader {
@@ -18,7 +18,7 @@
 
   private readonly held = new HeldCalls();
 
-  private readonly signs = new Set<NodeJS.Timeout>();
+  private readonly keepAliveTimers = new Set<NodeJS.Timeout>();
 
   /** @param makeReply what it tells entries that ask it */
   constructor(private readonly makeReply: (leaderAddress: string) => WatchReply) {}
@@ -34,13 +34,13 @@
         },
         close: () => undefined,
       })),
-      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => this.hold(stream)),
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => this.sendKeepAlives(stream)),
     });
     this.address = await this.server.listen(`${HOST}:0`);
   }
 
   close(): void {
-    this.signs.forEach((sign) => clearInterval(sign));
+    this.keepAliveTimers.forEach((keepAliveTimer) => clearInterval(keepAliveTimer));
     this.held.release();
     this.server.close();
   }
@@ -50,15 +50,15 @@
     return this.makeReply(this.address);
   }
 
-  private hold(stream: ServerStream<PlaceNews, PlaceDecisions>): void {
+  private sendKeepAlives(stream: ServerStream<PlaceNews, PlaceDecisions>): void {
     let acknowledged = 0;
-    const sign = setInterval(() => stream.send({ acknowledged, replies: [] }), SIGN_MS);
-    this.signs.add(sign);
+    const keepAliveTimer = setInterval(() => stream.send({ acknowledged, replies: [] }), KEEP_ALIVE_MS);
+    this.keepAliveTimers.add(keepAliveTimer);
     stream.listen({
       take: ({ number }) => {
         acknowledged = number;
       },
-      close: () => clearInterval(sign),
+      close: () => clearInterval(keepAliveTimer),
     });
   }
 }
--- a/tests/fakes/memoryFileSystem.ts
+++ b/tests/fakes/memoryFileSystem.ts
@@ -65,14 +65,14 @@
     this.failAt = undefined;
     this.files.clear();
     this.durableNames.forEach((file, path) => {
-      const torn = file.written.subarray(0, file.synced.length + tornBytes);
-      const written = Buffer.from(torn.length > file.synced.length ? torn : file.synced);
+      const recovered = file.written.subarray(0, file.synced.length + tornBytes);
+      const written = Buffer.from(recovered.length > file.synced.length ? recovered : file.synced);
       this.files.set(path, { written, synced: file.synced });
     });
   }
 
   /** Damages one byte in place. */
-  breakByte(path: string, position: number): void {
+  corruptByte(path: string, position: number): void {
     const file = this.files.get(path);
     if (file) file.written[position] = 0x7e;
   }
--- a/tests/fakes/pacedServer.ts
+++ b/tests/fakes/pacedServer.ts
@@ -11,7 +11,7 @@
 const BULK_BYTES = 12_000;
 const BULK_MS = 1;
 /** How long a reader takes nothing until it is taken for full, in milliseconds. */
-const FULL_MS = 10;
+const BLOCKED_MS = 10;
 
 /** What a request of a test asks of the server that runs it. */
 export type AnswerForm = 'plain' | 'stream' | 'bulk';
@@ -27,7 +27,7 @@
 );
 
 /** Events of a stream that lasts so long. */
-export const countEvents = (lastsMs: number): number => Math.max(1, Math.ceil(lastsMs / EVENT_MS));
+export const countEvents = (durationMs: number): number => Math.max(1, Math.ceil(durationMs / EVENT_MS));
 
 /**
  * A backend server that answers in the form and after the time that a request names in its headers
@@ -38,18 +38,18 @@
   readonly runs: string[] = [];
 
   /** Whether the reader of a bulk answer takes no more at the moment. */
-  isFull = (): boolean => true;
+  isReaderBlocked = (): boolean => true;
 
   /** Resolves once a bulk answer was ended. */
-  readonly whenFilled: Promise<void>;
+  readonly bulkEnded: Promise<void>;
 
-  private noteFilled: () => void = () => undefined;
+  private resolveBulkEnded: () => void = () => undefined;
 
   private readonly server: Server;
 
   constructor() {
-    this.whenFilled = new Promise((resolve) => {
-      this.noteFilled = resolve;
+    this.bulkEnded = new Promise((resolve) => {
+      this.resolveBulkEnded = resolve;
     });
     this.server = createServer((request, response) => {
       this.serve(request, response).catch(() => response.destroy());
@@ -114,17 +114,17 @@
     const sendMore = async (): Promise<void> => {
       response.write('x'.repeat(BULK_BYTES));
       await pause(BULK_MS);
-      if (response.destroyed || await this.waitFull()) return;
+      if (response.destroyed || await this.isReaderStillBlocked()) return;
       await sendMore();
     };
     await sendMore();
     response.end();
-    this.noteFilled();
+    this.resolveBulkEnded();
   }
 
-  private async waitFull(): Promise<boolean> {
-    if (!this.isFull()) return false;
-    await pause(FULL_MS);
-    return this.isFull();
+  private async isReaderStillBlocked(): Promise<boolean> {
+    if (!this.isReaderBlocked()) return false;
+    await pause(BLOCKED_MS);
+    return this.isReaderBlocked();
   }
 }
--- a/tests/fakes/parseAnswer.ts
+++ b/tests/fakes/parseAnswer.ts
@@ -7,7 +7,7 @@
 }
 
 /** An answer that is whole, and how many bytes it took. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly answer: ParsedAnswer;
   readonly length: number;
 }
@@ -21,12 +21,12 @@
   }),
 );
 
-interface ReadBody {
+interface BodyPart {
   readonly body: string;
   readonly end: number;
 }
 
-const readSized = (bytes: Buffer, from: number, size: number): ReadBody | undefined => {
+const readSized = (bytes: Buffer, from: number, size: number): BodyPart | undefined => {
   if (bytes.length < from + size) return undefined;
   return { body: bytes.toString('latin1', from, from + size), end: from + size };
 };
@@ -34,15 +34,15 @@
 const readChunks = (
   bytes: Buffer,
   from: number,
-  pieces: readonly string[] = [],
-): ReadBody | undefined => {
+  chunks: readonly string[] = [],
+): BodyPart | undefined => {
   const lineEnd = bytes.indexOf('\r\n', from);
   if (lineEnd < 0) return undefined;
   const size = parseInt(bytes.toString('latin1', from, lineEnd), 16);
   const chunk = readSized(bytes, lineEnd + 2, size + 2);
   if (!chunk) return undefined;
-  if (size === 0) return { body: pieces.join(''), end: chunk.end };
-  return readChunks(bytes, chunk.end, [...pieces, chunk.body.slice(0, size)]);
+  if (size === 0) return { body: chunks.join(''), end: chunk.end };
+  return readChunks(bytes, chunk.end, [...chunks, chunk.body.slice(0, size)]);
 };
 
 /**
@@ -51,7 +51,7 @@
  * @example
  * const whole = parseAnswer(bytes);
  */
-export const parseAnswer = (bytes: Buffer): WholeAnswer | undefined => {
+export const parseAnswer = (bytes: Buffer): CompleteAnswer | undefined => {
   const headEnd = bytes.indexOf(HEAD_END);
   if (headEnd < 0) return undefined;
   const [statusLine = '', ...lines] = bytes.toString('latin1', 0, headEnd).split('\r\n');
--- a/tests/fakes/powerLossFiles.ts
+++ b/tests/fakes/powerLossFileSystem.ts
@@ -1,9 +1,9 @@
 import type { AppendFile, FileSystem } from '../../src/disk/fileSystem';
 
 /** What a power loss leaves of a write that was not synced. */
-export type WriteFate = 'present' | 'missing' | 'torn';
+export type UnsyncedWriteState = 'present' | 'missing' | 'torn';
 
-interface WrittenFile {
+interface FileContent {
   synced: Buffer;
   /** Writes since the last sync, in order. */
   writes: Buffer[];
@@ -17,17 +17,17 @@
   (unused, part) => bytes.subarray(part * MAX_WRITE_BYTES, (part + 1) * MAX_WRITE_BYTES),
 );
 
-const readAll = ({ synced, writes }: WrittenFile): Buffer => Buffer.concat([synced, ...writes]);
+const readAll = ({ synced, writes }: FileContent): Buffer => Buffer.concat([synced, ...writes]);
 
-const keepWrite = (bytes: Buffer, fate: WriteFate): Buffer => {
-  const keepers: Record<WriteFate, () => Buffer> = {
+const applyWriteState = (bytes: Buffer, state: UnsyncedWriteState): Buffer => {
+  const builders: Record<UnsyncedWriteState, () => Buffer> = {
     present: () => bytes,
     missing: () => Buffer.alloc(bytes.length),
     torn: () => Buffer.concat([
       bytes.subarray(0, bytes.length / 2), Buffer.alloc(Math.ceil(bytes.length / 2)),
     ]),
   };
-  return keepers[fate]();
+  return builders[state]();
 };
 
 /**
@@ -35,19 +35,19 @@
  * synced present, missing or torn, whatever became of the writes before it, and each name as it was
  * when its folder was last synced or as it is.
  */
-export class PowerLossFiles implements FileSystem {
-  private names = new Map<string, WrittenFile>();
+export class PowerLossFileSystem implements FileSystem {
+  private names = new Map<string, FileContent>();
 
-  private durableNames = new Map<string, WrittenFile>();
+  private durableNames = new Map<string, FileContent>();
 
-  private syncing: (() => void)[] = [];
+  private pendingSyncs: (() => void)[] = [];
 
   /** Whether syncs end by themselves. */
-  isFast = false;
+  isSyncImmediate = false;
 
   /** Whether a sync is under way. */
   get isSyncing(): boolean {
-    return this.syncing.length > 0;
+    return this.pendingSyncs.length > 0;
   }
 
   readonly makeFolder = async (): Promise<void> => undefined;
@@ -94,23 +94,23 @@
 
   /** Lets the syncs end that are under way. */
   finishSyncs(): void {
-    this.syncing.splice(0).forEach((finish) => finish());
+    this.pendingSyncs.splice(0).forEach((finish) => finish());
   }
 
   /** The process is gone, with its calls that are under way; files stay as they were written. */
   kill(): void {
-    this.syncing = [];
+    this.pendingSyncs = [];
   }
 
   /** The machine loses power. */
-  cutPower(drawFate: () => WriteFate): void {
+  cutPower(drawWriteState: () => UnsyncedWriteState): void {
     this.kill();
     const paths = [...new Set([...this.names.keys(), ...this.durableNames.keys()])];
-    const kept = paths.flatMap((path): [string, WrittenFile][] => {
-      const isNew = drawFate() === 'present';
+    const kept = paths.flatMap((path): [string, FileContent][] => {
+      const isNew = drawWriteState() === 'present';
       const file = (isNew ? this.names : this.durableNames).get(path);
       if (!file) return [];
-      const writes = file.writes.map((bytes) => keepWrite(bytes, drawFate()));
+      const writes = file.writes.map((bytes) => applyWriteState(bytes, drawWriteState()));
       return [[path, { synced: Buffer.concat([file.synced, ...writes]), writes: [] }]];
     });
     this.names = new Map(kept);
@@ -118,12 +118,12 @@
   }
 
   private sync(finish: () => void): Promise<void> {
-    if (this.isFast) {
+    if (this.isSyncImmediate) {
       finish();
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      this.syncing.push(() => {
+      this.pendingSyncs.push(() => {
         finish();
         resolve();
       });
--- a/tests/fakes/rawCaller.ts
+++ b/tests/fakes/rawCaller.ts
@@ -22,14 +22,14 @@
   /** When the answer was whole, or its connection ended. */
   readonly endedAt: number;
   /** Why the connection ended, if it did before the answer was whole. */
-  readonly cut: string;
+  readonly endReason: string;
 }
 
 /** Bytes that a slow writer sends at once, and how often. */
-const PIECE_BYTES = 16_384;
-const PIECE_MS = 5;
+const CHUNK_BYTES = 16_384;
+const CHUNK_INTERVAL_MS = 5;
 /** Bytes that show how an answer ended: enough for a head. */
-const SHOWN_BYTES = 300;
+const MAX_PARTIAL_BYTES = 300;
 
 const formatRequest = ({
   id, path, headers = {}, body = '',
@@ -45,23 +45,23 @@
 
   private received: Buffer[] = [];
 
-  private waiting: (() => void) | undefined;
+  private notifyReader: (() => void) | undefined;
 
   private endedAt = 0;
 
-  private cut = '';
+  private endReason = '';
 
   private constructor() {
     const { socket } = this;
-    socket.on('data', (piece) => {
-      this.received.push(piece);
-      this.waiting?.();
+    socket.on('data', (chunk) => {
+      this.received.push(chunk);
+      this.notifyReader?.();
     });
     socket.on('error', ({ message }) => {
-      this.cut ||= message;
+      this.endReason ||= message;
     });
-    socket.on('end', () => this.noteEnd('ended'));
-    socket.on('close', () => this.noteEnd('closed'));
+    socket.on('end', () => this.recordEnd('ended'));
+    socket.on('close', () => this.recordEnd('closed'));
   }
 
   /** Resolves once it is connected; rejects where nobody listens. */
@@ -83,7 +83,7 @@
   }
 
   /** Reads nothing until it is told to go on. */
-  holdReading(): void {
+  pauseReading(): void {
     this.socket.pause();
   }
 
@@ -92,69 +92,69 @@
   }
 
   /** Sends a request and waits for its answer or the end of the connection. */
-  async ask(request: CallerRequest): Promise<CallerResult> {
+  async send(request: CallerRequest): Promise<CallerResult> {
     this.socket.write(formatRequest(request) + (request.body ?? ''));
-    return this.takeAnswer(performance.now());
+    return this.waitForAnswer(performance.now());
   }
 
   /** Sends some requests in one write, and waits for the answer to the first. */
-  async askTogether(requests: readonly CallerRequest[]): Promise<CallerResult> {
+  async sendPipelined(requests: readonly CallerRequest[]): Promise<CallerResult> {
     this.socket.write(requests.map((request) => formatRequest(request) + (request.body ?? '')).join(''));
-    return this.takeAnswer(performance.now());
+    return this.waitForAnswer(performance.now());
   }
 
   /** Sends one with a body that is written piece by piece, and nothing read before it is out. */
-  async askSlowly(request: CallerRequest): Promise<CallerResult> {
-    this.holdReading();
+  async sendSlowly(request: CallerRequest): Promise<CallerResult> {
+    this.pauseReading();
     this.socket.write(formatRequest(request));
-    await this.writePieces(request.body ?? '');
+    await this.writeChunks(request.body ?? '');
     const sentAt = performance.now();
     this.resumeReading();
-    return this.takeAnswer(sentAt);
+    return this.waitForAnswer(sentAt);
   }
 
   /** The same, and nothing is read until it goes on reading. */
-  askHeld(request: CallerRequest): Promise<CallerResult> {
-    this.holdReading();
-    return this.ask(request);
+  sendPaused(request: CallerRequest): Promise<CallerResult> {
+    this.pauseReading();
+    return this.send(request);
   }
 
   /** Resolves once the next answer is whole, or the connection has ended. */
-  async takeAnswer(sentAt: number): Promise<CallerResult> {
+  async waitForAnswer(sentAt: number): Promise<CallerResult> {
     const bytes = Buffer.concat(this.received);
-    const whole = parseAnswer(bytes);
-    if (whole) {
-      this.received = [bytes.subarray(whole.length)];
+    const complete = parseAnswer(bytes);
+    if (complete) {
+      this.received = [bytes.subarray(complete.length)];
       return {
-        answer: whole.answer, partial: '', sentAt, endedAt: performance.now(), cut: '',
+        answer: complete.answer, partial: '', sentAt, endedAt: performance.now(), endReason: '',
       };
     }
     if (this.isEnded) {
-      const partial = bytes.toString('latin1', 0, SHOWN_BYTES);
+      const partial = bytes.toString('latin1', 0, MAX_PARTIAL_BYTES);
       return {
-        answer: undefined, partial, sentAt, endedAt: this.endedAt, cut: this.cut,
+        answer: undefined, partial, sentAt, endedAt: this.endedAt, endReason: this.endReason,
       };
     }
     await new Promise<void>((resolve) => {
-      this.waiting = resolve;
+      this.notifyReader = resolve;
     });
-    return this.takeAnswer(sentAt);
+    return this.waitForAnswer(sentAt);
   }
 
   close(): void {
     this.socket.destroy();
   }
 
-  private async writePieces(body: string): Promise<void> {
+  private async writeChunks(body: string): Promise<void> {
     if (body.length === 0 || this.socket.destroyed) return;
-    this.socket.write(body.slice(0, PIECE_BYTES));
-    await pause(PIECE_MS);
-    await this.writePieces(body.slice(PIECE_BYTES));
+    this.socket.write(body.slice(0, CHUNK_BYTES));
+    await pause(CHUNK_INTERVAL_MS);
+    await this.writeChunks(body.slice(CHUNK_BYTES));
   }
 
-  private noteEnd(reason: string): void {
-    this.cut ||= reason;
+  private recordEnd(reason: string): void {
+    this.endReason ||= reason;
     this.endedAt ||= performance.now();
-    this.waiting?.();
+    this.notifyReader?.();
   }
 }
--- a/tests/fakes/readBody.ts
+++ b/tests/fakes/readBody.ts
@@ -2,8 +2,8 @@
 
 /** Reads the whole body of a request to a stand-in. */
 export const readBody = async (incoming: IncomingMessage): Promise<string> => {
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   // eslint-disable-next-line no-restricted-syntax -- a body is read in order
-  for await (const piece of incoming) pieces.push(piece as Buffer);
-  return Buffer.concat(pieces).toString();
+  for await (const chunk of incoming) chunks.push(chunk as Buffer);
+  return Buffer.concat(chunks).toString();
 };
--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -113,16 +113,16 @@
   }
 
   /** Sends bytes as they are and collects what comes until the connection ends or it is quiet. */
-  send(bytes: string, quietMs = 150): Promise<string> {
+  send(bytes: string, idleMs = 150): Promise<string> {
     return new Promise((resolve) => {
       const socket = new Socket();
-      const pieces: Buffer[] = [];
+      const chunks: Buffer[] = [];
       const end = (): void => {
         socket.destroy();
-        resolve(Buffer.concat(pieces).toString('latin1'));
+        resolve(Buffer.concat(chunks).toString('latin1'));
       };
-      socket.setTimeout(quietMs, end);
-      socket.on('data', (piece) => pieces.push(piece));
+      socket.setTimeout(idleMs, end);
+      socket.on('data', (chunk) => chunks.push(chunk));
       socket.on('close', end);
       socket.on('error', end);
       socket.connect(this.port, HOST, () => socket.write(bytes));
@@ -139,27 +139,27 @@
   /** Puts another routing in force, with the limits for callers that it sets. */
   replaceRouting(routing: Routing): void {
     this.routing = routing;
-    this.tellDocument(routing.version);
+    this.applyDocument(routing.version);
     if (this.app) applyCallerLimits(this.app, routing.limits);
   }
 
   /** Tells the entry of a new standing of all servers, and closes connections as it does then. */
   setStanding(standing: string): void {
-    this.tellServers(standing);
+    this.applyServers(standing);
     this.connections.closeExcept(new Set(standing === 'gone' ? [] : this.servers.map(({ address }) => address)));
   }
 
   /** Requests that wait for their answer. */
-  async countOpen(): Promise<number> {
+  async countOpenRequests(): Promise<number> {
     return (await this.metrics.open.get()).values[0]?.value ?? 0;
   }
 
-  private tellDocument(version: number): void {
-    this.tell({ documentDigest: `d${version}`, documentVersion: version, document: 'd' });
+  private applyDocument(version: number): void {
+    this.applyReply({ documentDigest: `d${version}`, documentVersion: version, document: 'd' });
   }
 
-  private tellServers(standing: string): void {
-    this.tell({
+  private applyServers(standing: string): void {
+    this.applyReply({
       documentDigest: `d${this.routing.version}`,
       documentVersion: this.routing.version,
       workers: this.servers.map(({ address }, position) => WorkerRecord.fromPartial({
@@ -171,19 +171,19 @@
     });
   }
 
-  private tell(news: Partial<WatchReply>): void {
+  private applyReply(changes: Partial<WatchReply>): void {
     this.site.applyReply({
       ...WatchReply.fromPartial({
         leaseMs: LEASE_MS, workersEpoch: 'e', workersRevision: 1, entryCount: 1,
       }),
-      ...news,
+      ...changes,
     }, systemClock.now(), new SuspensionDetector().readEpoch());
   }
 
   private async open(): Promise<void> {
     const { site, placeClient } = this;
-    this.tellDocument(this.routing.version);
-    this.tellServers('ready');
+    this.applyDocument(this.routing.version);
+    this.applyServers('ready');
     this.app = makeRelayServer({
       site,
       dialect: testDialect,
--- a/tests/fakes/routedSite.ts
+++ b/tests/fakes/routedSite.ts
@@ -27,7 +27,7 @@
   /** Milliseconds after which to come back; 0 where none was told. */
   readonly retryMs: number;
   /** Whether the body came to its end. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Control, entries and fragile servers of one routed site, in one process, on loopback. */
@@ -38,9 +38,9 @@
 
   private readonly scripted: ScriptedServer[] = [];
 
-  private announcing: NodeJS.Timeout | undefined;
+  private announceTimer: NodeJS.Timeout | undefined;
 
-  private announced = 0;
+  private announcementCount = 0;
 
   private readonly entries: { readonly relay: RunningRelay; readonly address: string }[] = [];
 
@@ -51,7 +51,7 @@
   static async start(changes: Partial<Routing>, entryCount: number): Promise<RoutedSite> {
     const site = new RoutedSite(await ControlSite.open(REPLICAS.length));
     await Promise.all(REPLICAS.map((position) => site.control.start(position, true)));
-    const leader = await site.control.waitLeader();
+    const leader = await site.control.waitForLeader();
     const document = formatDocument(1, {
       accounts: [], ...changes,
     });
@@ -76,7 +76,7 @@
 
   /** Requests that the leader watches or refuses. */
   async listSuspects(): Promise<readonly SuspectRecord[]> {
-    return this.control.findNode(await this.control.waitLeader()).suspects.listSuspects();
+    return this.control.findNode(await this.control.waitForLeader()).suspects.listSuspects();
   }
 
   /** Adds servers with the scripts, named s0, s1 and so on, that announce themselves. */
@@ -84,19 +84,19 @@
     const servers = scripts.map((script) => new ScriptedServer(script));
     this.scripted.push(...servers);
     await Promise.all(servers.map((server) => server.listen()));
-    this.announcing = setInterval(() => {
+    this.announceTimer = setInterval(() => {
       servers.forEach((server, position) => this.announceScripted(server, position));
     }, ANNOUNCE_MS);
-    await this.waitKnown(scripts.length);
+    await this.waitForServers(scripts.length);
   }
 
   async addServers(count: number, keepsId = false): Promise<void> {
-    const announce = (said: WorkerAnnouncement): Promise<void> => this.announce(said);
+    const announce = (announcement: WorkerAnnouncement): Promise<void> => this.announce(announcement);
     this.servers.push(...await Promise.all(Array.from(
       { length: count },
       (unused, position) => FragileServer.start(`w${position}`, SERVICE, announce, keepsId),
     )));
-    await this.waitKnown(count);
+    await this.waitForServers(count);
   }
 
   /** Starts one more entry, and resolves with its number once it serves. */
@@ -106,7 +106,7 @@
       settings: {
         zone: 'a',
         callerAddress: address,
-        readSeeds: () => REPLICAS.map((position) => this.control.readAddress(position)),
+        readSeeds: () => REPLICAS.map((position) => this.control.getAddress(position)),
         retryBounds: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
         locateMs: 0,
         graceMs: 100,
@@ -131,20 +131,20 @@
       },
       body,
     });
-    let isWhole = true;
+    let isComplete = true;
     const text = await answer.body.text().catch(() => {
-      isWhole = false;
+      isComplete = false;
       return '';
     });
-    const isOwn = answer.headers['content-type'] === 'application/json';
-    const { error } = isOwn && isWhole ? JSON.parse(text) as { error: { name: string; retryAfterMs?: number } } : { error: { name: '' } };
+    const isEntryAnswer = answer.headers['content-type'] === 'application/json';
+    const { error } = isEntryAnswer && isComplete ? JSON.parse(text) as { error: { name: string; retryAfterMs?: number } } : { error: { name: '' } };
     return {
-      status: answer.statusCode, code: error.name, retryMs: error.retryAfterMs ?? 0, isWhole,
+      status: answer.statusCode, code: error.name, retryMs: error.retryAfterMs ?? 0, isComplete: isComplete,
     };
   }
 
   async close(): Promise<void> {
-    clearInterval(this.announcing);
+    clearInterval(this.announceTimer);
     [...this.servers, ...this.scripted].forEach((server) => server.close());
     await Promise.all(this.entries.map(async ({ relay }) => {
       relay.app.server.closeAllConnections();
@@ -154,19 +154,19 @@
   }
 
   private announceScripted({ address }: ScriptedServer, position: number): void {
-    this.announced += 1;
-    const said = WorkerAnnouncement.fromPartial({
-      workerId: `s${position}`, service: SERVICE, address, zone: 'a', slots: 6, state: 'ready', sequence: this.announced, born: 1,
+    this.announcementCount += 1;
+    const announcement = WorkerAnnouncement.fromPartial({
+      workerId: `s${position}`, service: SERVICE, address, zone: 'a', slots: 6, state: 'ready', sequence: this.announcementCount, born: 1,
     });
-    this.announce(said).catch(() => undefined); // Said again in a moment.
+    this.announce(announcement).catch(() => undefined); // Said again in a moment.
   }
 
-  private async announce(said: WorkerAnnouncement): Promise<void> {
+  private async announce(announcement: WorkerAnnouncement): Promise<void> {
     const leader = this.control.findLeader();
-    if (leader !== undefined) await this.control.findNode(leader).announce(said);
+    if (leader !== undefined) await this.control.findNode(leader).announce(announcement);
   }
 
-  private async waitKnown(count: number): Promise<void> {
+  private async waitForServers(count: number): Promise<void> {
     await waitFor(() => this.entries.every(({ relay }) => (
       (relay.site.workers.byService.get(SERVICE)?.length ?? 0) >= count)), 'entries know the servers');
   }
--- a/tests/fakes/runSearch.ts
+++ b/tests/fakes/runSearch.ts
@@ -2,7 +2,7 @@
 import type { IAsyncProperty, IProperty, RunDetails } from 'fast-check';
 
 /** Seconds that each search may take; 0 for the short one of every test run. */
-const SECONDS = Number(process.env.BEECHLIFT_FUZZ_SECONDS ?? 0);
+const SEARCH_SECONDS = Number(process.env.BEECHLIFT_FUZZ_SECONDS ?? 0);
 
 /** How a search runs as part of every test run. */
 export interface ShortSearch {
@@ -11,17 +11,17 @@
 }
 
 const buildParameters = <Arguments>({ runs, seed }: ShortSearch): fc.Parameters<Arguments> => (
-  SECONDS > 0
-    ? { numRuns: Number.MAX_SAFE_INTEGER, interruptAfterTimeLimit: SECONDS * 1_000 }
+  SEARCH_SECONDS > 0
+    ? { numRuns: Number.MAX_SAFE_INTEGER, interruptAfterTimeLimit: SEARCH_SECONDS * 1_000 }
     : { numRuns: runs, seed });
 
 /** Throws the counterexample, or tells how far a search came. */
-const judge = <Arguments>(details: RunDetails<Arguments>): number => {
+const reportResult = <Arguments>(details: RunDetails<Arguments>): number => {
   if (details.counterexample !== null) {
     throw new Error(fc.defaultReportMessage(details), { cause: details.errorInstance });
   }
   const { numRuns, seed } = details;
-  if (SECONDS > 0) console.log(`searched ${numRuns} runs in ${SECONDS} s, seed ${seed}`);
+  if (SEARCH_SECONDS > 0) console.log(`searched ${numRuns} runs in ${SEARCH_SECONDS} s, seed ${seed}`);
   return numRuns;
 };
 
@@ -36,13 +36,13 @@
  */
 export const runSearch = <Arguments>(
   property: IProperty<Arguments>,
-  short: ShortSearch,
+  defaults: ShortSearch,
 ): number => (
-  judge(fc.check(property, buildParameters<Arguments>(short))));
+  reportResult(fc.check(property, buildParameters<Arguments>(defaults))));
 
 /** The same for a property that is decided later. */
 export const runSearchAsync = async <Arguments>(
   property: IAsyncProperty<Arguments>,
-  short: ShortSearch,
+  defaults: ShortSearch,
 ): Promise<number> => (
-  judge(await fc.check(property, buildParameters<Arguments>(short))));
+  reportResult(await fc.check(property, buildParameters<Arguments>(defaults))));
--- a/tests/fakes/scriptedServer.ts
+++ b/tests/fakes/scriptedServer.ts
@@ -12,9 +12,9 @@
   id: string,
   body: string,
   status = 200,
-  extra = '',
+  extraHeaders = '',
 ): void => {
-  socket.write(`HTTP/1.1 ${status} X\r\nx-id: ${id}\r\n${extra}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
+  socket.write(`HTTP/1.1 ${status} X\r\nx-id: ${id}\r\n${extraHeaders}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 };
 
 /** A backend server whose every byte is the test's. */
@@ -23,7 +23,7 @@
   readonly requests: string[] = [];
 
   /** Sockets that the other end closed. */
-  closed = 0;
+  closedCount = 0;
 
   private readonly server: Server;
 
@@ -53,7 +53,7 @@
     this.sockets.add(socket);
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      this.closed += 1;
+      this.closedCount += 1;
     });
     socket.on('data', (data) => {
       this.requests.push(data.toString('latin1'));
--- a/tests/fakes/sheddingCalls.ts
+++ b/tests/fakes/sheddingCalls.ts
@@ -2,7 +2,7 @@
 import { RelayRig } from './relayRig';
 import { makeRoute, makeRouting } from './routings';
 import type { ServerScript } from './scriptedServer';
-import type { ShedAnswer } from './sheddingServer';
+import type { SheddingAnswer } from './sheddingServer';
 
 /** What a caller got. */
 export interface CallerAnswer {
@@ -11,8 +11,8 @@
   readonly retryMs: number;
 }
 
-const CALL = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\nconnection: close\r\n\r\n';
-const PATIENCE_MS = 2_500;
+const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\nconnection: close\r\n\r\n';
+const MAX_IDLE_MS = 2_500;
 
 const readAnswer = (text: string): CallerAnswer => ({
   status: Number(/^HTTP\/1.1 (\d+)/.exec(text)?.[1] ?? 0),
@@ -20,7 +20,7 @@
 });
 
 /** Answers of a server that takes all. */
-export const serveAll = (): ShedAnswer => ({});
+export const serveAll = (): SheddingAnswer => ({});
 
 /** Starts servers with the scripts, and an entry whose one route leads to them. */
 export const startRig = (
@@ -30,5 +30,5 @@
   RelayRig.start(makeRouting({ routes: [makeRoute(route)] }), scripts));
 
 /** Sends one request to the entry. */
-export const callRig = async (rig: RelayRig): Promise<CallerAnswer> => (
-  readAnswer(await rig.send(CALL, PATIENCE_MS)));
+export const sendRequest = async (rig: RelayRig): Promise<CallerAnswer> => (
+  readAnswer(await rig.send(REQUEST, MAX_IDLE_MS)));
--- a/tests/fakes/sheddingServer.ts
+++ b/tests/fakes/sheddingServer.ts
@@ -2,7 +2,7 @@
 import { sendAnswer } from './scriptedServer';
 
 /** How a shedding server answers one request. */
-export interface ShedAnswer {
+export interface SheddingAnswer {
   readonly status?: number;
   /** Milliseconds of rest that it asks for. */
   readonly restMs?: number;
@@ -12,19 +12,19 @@
 }
 
 /** Something that happened between the server and one entry. */
-interface Moment {
+interface EntryEvent {
   readonly entry: string;
   readonly at: number;
 }
 
-interface AskedRest extends Moment {
+interface BackoffPeriod extends EntryEvent {
   readonly until: number;
 }
 
 /** The usual time of an answer and of a request that met it on the way, in milliseconds. */
-const ON_ITS_WAY_MS = 60;
+const IN_FLIGHT_MS = 60;
 
-const formatNotices = ({ status = 200, restMs = 0, isLeaving = false }: ShedAnswer): string => [
+const formatNotices = ({ status = 200, restMs = 0, isLeaving = false }: SheddingAnswer): string => [
   ...(status === 503 ? ['x-not-run: 1\r\n'] : []),
   ...(restMs > 0 ? [`x-rest-ms: ${restMs}\r\n`] : []),
   ...(isLeaving ? ['x-leaving: 1\r\n'] : []),
@@ -39,58 +39,58 @@
  */
 export class SheddingServer {
   /** When requests arrived, monotonic milliseconds. */
-  readonly arrivals: Moment[] = [];
+  readonly arrivals: EntryEvent[] = [];
 
   /** When each entry was first told that it leaves. */
-  private readonly farewells: Moment[] = [];
+  private readonly leaveNotices: EntryEvent[] = [];
 
-  private readonly rests: AskedRest[] = [];
+  private readonly backoffs: BackoffPeriod[] = [];
 
   /**
-   * @param decide answers the request of a number, which counts from one
-   * @param onItsWayMs how long what was on its way may still arrive
+   * @param makeAnswer answers the request of a number, which counts from one
+   * @param inFlightMs how long what was on its way may still arrive
    */
   constructor(
-    private readonly decide: (count: number) => ShedAnswer,
-    private readonly onItsWayMs = ON_ITS_WAY_MS,
+    private readonly makeAnswer: (count: number) => SheddingAnswer,
+    private readonly inFlightMs = IN_FLIGHT_MS,
   ) {}
 
   readonly script: ServerScript = (socket, request) => {
     const entry = /x-entry: (\w+)/.exec(request)?.[1] ?? '';
     this.arrivals.push({ entry, at: performance.now() });
-    const answer = this.decide(this.arrivals.length);
+    const answer = this.makeAnswer(this.arrivals.length);
     const id = /x-id: ([\w-]+)/.exec(request)?.[1] ?? '';
     setTimeout(() => {
-      this.noteAnswer(entry, answer);
+      this.recordAnswer(entry, answer);
       sendAnswer(socket, id, 'fine', answer.status ?? 200, formatNotices(answer));
     }, answer.delayMs ?? 0);
   };
 
   /** Most requests of an entry that arrived within one of the rests that it was asked for. */
-  get mostInRest(): number {
-    return Math.max(0, ...this.rests.map((rest) => this.countBetween(rest)));
+  get maxDuringBackoff(): number {
+    return Math.max(0, ...this.backoffs.map((rest) => this.countBetween(rest)));
   }
 
   /** Requests that arrived from entries which had been told that it leaves. */
-  get lateCount(): number {
-    return this.farewells
+  get countAfterLeaving(): number {
+    return this.leaveNotices
       .reduce((sum, farewell) => sum + this.countBetween({ ...farewell, until: Infinity }), 0);
   }
 
   /** Whether any entry was told that it leaves. */
-  get hasLeft(): boolean {
-    return this.farewells.length > 0;
+  get hasAnnouncedLeaving(): boolean {
+    return this.leaveNotices.length > 0;
   }
 
-  private countBetween({ entry, at, until }: AskedRest): number {
+  private countBetween({ entry, at, until }: BackoffPeriod): number {
     return this.arrivals.filter((arrival) => (
-      arrival.entry === entry && arrival.at > at + this.onItsWayMs && arrival.at <= until)).length;
+      arrival.entry === entry && arrival.at > at + this.inFlightMs && arrival.at <= until)).length;
   }
 
-  private noteAnswer(entry: string, { restMs = 0, isLeaving = false }: ShedAnswer): void {
+  private recordAnswer(entry: string, { restMs = 0, isLeaving = false }: SheddingAnswer): void {
     const at = performance.now();
-    const isFirst = !this.farewells.some((farewell) => farewell.entry === entry);
-    if (isLeaving && isFirst) this.farewells.push({ entry, at });
-    if (restMs > 0) this.rests.push({ entry, at, until: at + restMs });
+    const isFirst = !this.leaveNotices.some((farewell) => farewell.entry === entry);
+    if (isLeaving && isFirst) this.leaveNotices.push({ entry, at });
+    if (restMs > 0) this.backoffs.push({ entry, at, until: at + restMs });
   }
 }
--- a/tests/fakes/silentProxy.ts
+++ b/tests/fakes/silentProxy.ts
@@ -6,13 +6,13 @@
   address = '';
 
   /** Connections since the start. */
-  connections = 0;
+  connectionCount = 0;
 
   /** Pieces of bytes that passed either way. */
-  pieces = 0;
+  chunkCount = 0;
 
   /** Refuses everything: the two ends are cut off from one another. */
-  isCut = false;
+  isPartitioned = false;
 
   private readonly server: Server;
 
@@ -30,7 +30,7 @@
   }
 
   /** From now on nothing passes over the connections that are open; they are not closed. */
-  silence(): void {
+  dropTraffic(): void {
     this.sockets.forEach((socket) => {
       socket.unpipe();
       socket.removeAllListeners('data');
@@ -41,9 +41,9 @@
   }
 
   /** Cuts the two ends off, or lets them reach one another again. */
-  setCut(isCut: boolean): void {
-    this.isCut = isCut;
-    if (isCut) this.silence();
+  setPartitioned(isPartitioned: boolean): void {
+    this.isPartitioned = isPartitioned;
+    if (isPartitioned) this.dropTraffic();
   }
 
   stop(): void {
@@ -52,8 +52,8 @@
   }
 
   private accept(socket: Socket): void {
-    this.connections += 1;
-    if (this.isCut) {
+    this.connectionCount += 1;
+    if (this.isPartitioned) {
       socket.destroy();
       return;
     }
@@ -64,7 +64,7 @@
       end.on('error', () => end.destroy());
       end.on('close', () => this.sockets.delete(end));
       end.on('data', () => {
-        this.pieces += 1;
+        this.chunkCount += 1;
       });
     });
     socket.pipe(other);
--- a/tests/fakes/stoppingCalls.ts
+++ b/tests/fakes/stoppingCalls.ts
@@ -1,24 +1,24 @@
 import { expect } from 'vitest';
 import type { ParsedAnswer } from './parseAnswer';
 import type { CallerRequest, CallerResult, RawCaller } from './rawCaller';
-import { findPath } from './stoppingRoutes';
+import { formatRoutePath } from './stoppingRoutes';
 import type { StoppingRoute } from './stoppingRoutes';
 import type { StoppingSite } from './stoppingSite';
 
 /** Time of an answer that is soon whole. */
-export const BRIEF_MS = 20;
+export const SHORT_ANSWER_MS = 20;
 /** Time in which a request that was sent has reached a server. */
-export const REACH_MS = 100;
-const PATIENCE_MS = 20_000;
+export const MAX_DELIVERY_MS = 100;
+const MAX_WAIT_MS = 20_000;
 
 /** Headers by which a request tells its server how to answer. */
-export type Headers = Readonly<Record<string, string | number>>;
+export type AnswerHeaders = Readonly<Record<string, string | number>>;
 
 /** Makes a request for a route, under an id of its own. */
-type RequestMaker = (route: StoppingRoute, headers?: Headers) => CallerRequest;
+type RequestMaker = (route: StoppingRoute, headers?: AnswerHeaders) => CallerRequest;
 
 /** Sends one, on a new connection unless one is given. */
-type Asker = (route: StoppingRoute, headers?: Headers, caller?: RawCaller) => Promise<CallerResult>;
+type RequestSender = (route: StoppingRoute, headers?: AnswerHeaders, caller?: RawCaller) => Promise<CallerResult>;
 
 /**
  * Calls to the entry of a site.
@@ -27,20 +27,20 @@
  * const { askFor } = makeStoppingCalls(() => site);
  */
 export const makeStoppingCalls = (
-  readSite: () => StoppingSite,
-): { readonly makeRequest: RequestMaker; readonly askFor: Asker } => {
+  getSite: () => StoppingSite,
+): { readonly makeRequest: RequestMaker; readonly sendTo: RequestSender } => {
   let counter = 0;
   const makeRequest: RequestMaker = (route, headers = {}) => {
     counter += 1;
     return {
       id: `r${counter}`,
-      path: findPath(route),
-      headers: { 'x-patience': PATIENCE_MS, 'x-lasts': BRIEF_MS, ...headers },
+      path: formatRoutePath(route),
+      headers: { 'x-patience': MAX_WAIT_MS, 'x-lasts': SHORT_ANSWER_MS, ...headers },
     };
   };
-  const askFor: Asker = async (route, headers, caller) => (
-    (caller ?? await readSite().open()).ask(makeRequest(route, headers)));
-  return { makeRequest, askFor };
+  const sendTo: RequestSender = async (route, headers, caller) => (
+    (caller ?? await getSite().open()).send(makeRequest(route, headers)));
+  return { makeRequest, sendTo: sendTo };
 };
 
 /** A refusal that is the entry's own, whole and true: it says when to come back and to go. */
--- a/tests/fakes/stoppingPlan.ts
+++ b/tests/fakes/stoppingPlan.ts
@@ -2,18 +2,18 @@
 import { makeRoute } from './routings';
 
 /** Services are told apart by how long their answers take. */
-export type Length = 'quick' | 'medium' | 'slow';
+export type AnswerLength = 'quick' | 'medium' | 'slow';
 
 /** Kinds of requests by whether and where they may run again. */
-export type Kind = 'plain' | 'once' | 'stream' | 'resumable';
+export type RequestKind = 'plain' | 'once' | 'stream' | 'resumable';
 
 /** One request of a schedule. */
 export interface PlannedRequest {
   /** Relative to the signal to its entry, in milliseconds. */
   readonly at: number;
   readonly entry: number;
-  readonly length: Length;
-  readonly kind: Kind;
+  readonly length: AnswerLength;
+  readonly kind: RequestKind;
   /** Place of its answer between the shortest and the longest of its service, 0 to 1. */
   readonly share: number;
   /** Number of a connection that is kept; undefined for a new one. */
@@ -27,32 +27,32 @@
 }
 
 /** What becomes of the document in the middle. */
-export type Change = 'none' | 'idleTimeout' | 'dropRoutes';
+export type DocumentChange = 'none' | 'idleTimeout' | 'dropRoutes';
 
 /** A schedule around the stop of some entries. */
 export interface StoppingPlan {
   readonly entries: number;
   /** Between the signal to one entry and to the next, in milliseconds. */
   readonly staggerMs: number;
-  readonly change: Change;
+  readonly change: DocumentChange;
   /** When the document changes, relative to the first signal, in milliseconds. */
   readonly changeAt: number;
   readonly requests: readonly PlannedRequest[];
 }
 
 /** Lengths of a schedule. */
-export const LENGTHS: readonly Length[] = ['quick', 'medium', 'slow'];
+export const LENGTHS: readonly AnswerLength[] = ['quick', 'medium', 'slow'];
 /** Kinds of a schedule. */
-export const KINDS: readonly Kind[] = ['plain', 'once', 'stream', 'resumable'];
+export const KINDS: readonly RequestKind[] = ['plain', 'once', 'stream', 'resumable'];
 
 /** Shortest and longest answer of each service, in milliseconds. */
-const bounds: Record<Length, readonly [number, number]> = {
+const durationBounds: Record<AnswerLength, readonly [number, number]> = {
   quick: [20, 60], medium: [400, 480], slow: [1_300, 1_600],
 };
 
-const targets: Record<Length, number> = { quick: 400, medium: 2_000, slow: 5_000 };
+const targetLatencies: Record<AnswerLength, number> = { quick: 400, medium: 2_000, slow: 5_000 };
 
-const kinds: Record<Kind, Partial<Route>> = {
+const kinds: Record<RequestKind, Partial<Route>> = {
   plain: { kind: 'idempotent' },
   once: { kind: 'nonIdempotent' },
   stream: { kind: 'stream' },
@@ -60,7 +60,7 @@
 };
 
 /** Some end before the entry does, so that their requests are taken after the signal too. */
-const timeouts: Record<Length, number> = { quick: 700, medium: 900, slow: 20_000 };
+const timeouts: Record<AnswerLength, number> = { quick: 700, medium: 900, slow: 20_000 };
 
 const SHORT_IDLE_MS = 200;
 const limits = {
@@ -68,8 +68,8 @@
 };
 
 /** How long a server takes over a request. */
-export const computeLasts = ({ length, share }: Pick<PlannedRequest, 'length' | 'share'>): number => {
-  const [shortest, longest] = bounds[length];
+export const computeDurationMs = ({ length, share }: Pick<PlannedRequest, 'length' | 'share'>): number => {
+  const [shortest, longest] = durationBounds[length];
   return Math.round(shortest + share * (longest - shortest));
 };
 
@@ -78,10 +78,10 @@
   tookMs >= timeouts[length]);
 
 /** Whether a kind is answered event by event. */
-export const isStream = (kind: Kind): boolean => kind === 'stream' || kind === 'resumable';
+export const isStream = (kind: RequestKind): boolean => kind === 'stream' || kind === 'resumable';
 
 /** Streams and plain answers come from services of their own. */
-const nameService = (length: Length, kind: Kind): string => (
+const nameService = (length: AnswerLength, kind: RequestKind): string => (
   isStream(kind) ? `${length}-streams` : length);
 
 /** Services of a schedule. */
@@ -94,17 +94,17 @@
   `/${length}-${kind}/7`);
 
 /** Whether a service is dropped by a change of the document. */
-export const isDropped = (change: Change, length: Length): boolean => (
+export const isServiceRemoved = (change: DocumentChange, length: AnswerLength): boolean => (
   change === 'dropRoutes' && length === 'medium');
 
 /** The routing that is in force after a change; the first one after none. */
-export const makePlanRouting = (change: Change): Partial<Routing> => ({
-  routes: LENGTHS.filter((length) => !isDropped(change, length)).flatMap((length) => (
+export const makePlanRouting = (change: DocumentChange): Partial<Routing> => ({
+  routes: LENGTHS.filter((length) => !isServiceRemoved(change, length)).flatMap((length) => (
     KINDS.map((kind) => makeRoute({
       name: `${length}-${kind}`,
       pathPrefix: `/${length}-${kind}/`,
       timeoutMs: timeouts[length],
-      targetLatencyMs: targets[length],
+      targetLatencyMs: targetLatencies[length],
       targets: [{ service: nameService(length, kind), weight: 1 }],
       ...kinds[kind],
     })))),
--- a/tests/fakes/stoppingRoutes.ts
+++ b/tests/fakes/stoppingRoutes.ts
@@ -22,7 +22,7 @@
 };
 
 /** The path under which a route is asked. */
-export const findPath = (route: StoppingRoute): string => `/${route}/7`;
+export const formatRoutePath = (route: StoppingRoute): string => `/${route}/7`;
 
 /**
  * Makes the changes by which a routing has one route of each kind.
--- a/tests/fakes/stoppingSite.ts
+++ b/tests/fakes/stoppingSite.ts
@@ -27,10 +27,10 @@
 const PROMPT_TOKENS = 10;
 
 const readTokens = (headers: RawHeaders): RequestTokens | undefined => {
-  const told = findHeader(headers, TOKENS_HEADER);
-  return told === undefined
+  const tokenCount = findHeader(headers, TOKENS_HEADER);
+  return tokenCount === undefined
     ? undefined
-    : { prompt: PROMPT_TOKENS, output: Number(told), expected: Number(told) };
+    : { prompt: PROMPT_TOKENS, output: Number(tokenCount), expected: Number(tokenCount) };
 };
 
 const dialect: RequestDialect = {
@@ -46,9 +46,9 @@
   readonly servers?: number;
   readonly services?: readonly string[];
   /** Whether entries have a lease from the beginning. */
-  readonly isLeased?: boolean;
+  readonly hasLease?: boolean;
   /** Whether there is a leader that holds all questions for places. */
-  readonly isHeld?: boolean;
+  readonly holdsSlotRequests?: boolean;
   /** How long a stop may take, in milliseconds. */
   readonly graceMs?: number;
 }
@@ -70,7 +70,7 @@
   private version = 1;
 
   private constructor(private options: StoppingSiteOptions) {
-    if (options.isHeld) this.leader = new HoldingLeader((address) => this.makeReply(address));
+    if (options.holdsSlotRequests) this.leader = new HoldingLeader((address) => this.makeReply(address));
   }
 
   static async start(options: StoppingSiteOptions = {}): Promise<StoppingSite> {
@@ -108,7 +108,7 @@
   }
 
   /** Puts a changed document in force. */
-  change(routing: Partial<Routing>): void {
+  replaceRouting(routing: Partial<Routing>): void {
     this.version += 1;
     this.options = { ...this.options, routing };
     this.relays.forEach((relay) => this.grantLease(relay));
@@ -159,7 +159,7 @@
     });
     const [host = '', port] = address.split(':');
     await relay.app.listen({ host, port: Number(port) });
-    if (!this.leader && (this.options.isLeased ?? true)) this.grantLease(relay);
+    if (!this.leader && (this.options.hasLease ?? true)) this.grantLease(relay);
     if (this.leader) await waitFor(() => relay.site.state === 'active', 'the entry serves');
     this.addresses.push(address);
     this.sockets.push(sockets);
--- a/tests/fakes/testSite.ts
+++ b/tests/fakes/testSite.ts
@@ -10,8 +10,8 @@
 import { request } from 'undici';
 import { OperatorClient } from '../../src/cli/operatorClient';
 import type { StatusReply, SubmitReply } from '../../src/protocol/generated/beechlift';
-import { EngineStandIn } from './engineStandIn';
-import type { StandInOptions } from './engineStandIn';
+import { FakeEngine } from './fakeEngine';
+import type { FakeEngineOptions } from './fakeEngine';
 import { findFreeAddress } from './freeAddress';
 
 export const OPERATOR_KEY = 'site-operator';
@@ -25,13 +25,13 @@
 
 /** Waits for an event that shows from outside; fails loudly when it does not come. */
 export const waitUntil = async (
-  what: string,
+  description: string,
   isTrue: () => Promise<boolean> | boolean,
 ): Promise<void> => {
   const deadline = performance.now() + WAIT_MS;
   const poll = async (): Promise<void> => {
     if (await Promise.resolve().then(isTrue).catch(() => false)) return;
-    if (performance.now() > deadline) throw new Error(`did not happen in ${WAIT_MS} ms: ${what}`);
+    if (performance.now() > deadline) throw new Error(`did not happen in ${WAIT_MS} ms: ${description}`);
     await pause(POLL_MS);
     await poll();
   };
@@ -91,7 +91,7 @@
 
   readonly entries: SiteProcess[] = [];
 
-  readonly engines: EngineStandIn[] = [];
+  readonly engines: FakeEngine[] = [];
 
   /** Program and arguments of an entry; the benches put one with another policy here. */
   entryProgram: readonly string[] = [BINARY, 'entry'];
@@ -162,8 +162,8 @@
   }
 
   /** Starts an engine and waits until its pool's owner knows it. */
-  async addEngine(id: string, options: Partial<StandInOptions> = {}): Promise<EngineStandIn> {
-    const engine = new EngineStandIn({
+  async addEngine(id: string, options: Partial<FakeEngineOptions> = {}): Promise<FakeEngine> {
+    const engine = new FakeEngine({
       id,
       pool: 'engines',
       hardware: 'fast',
@@ -232,7 +232,7 @@
   }
 
   /** Asks an entry for an answer. */
-  async ask(entry: SiteProcess, prompt: string, options: {
+  async send(entry: SiteProcess, prompt: string, options: {
     tokens?: number;
     key?: string;
     tier?: string;
@@ -272,8 +272,8 @@
   }
 
   /** Freezes a process, as a VM that is paused, or lets it go on. */
-  freeze(member: SiteProcess, frozen: boolean): void {
-    member.child.kill(frozen ? 'SIGSTOP' : 'SIGCONT');
+  freeze(member: SiteProcess, isFrozen: boolean): void {
+    member.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
   /** Starts a process that ended again, with the same settings. */
--- a/tests/relay/changes-under-requests.spec.ts
+++ b/tests/relay/changes-under-requests.spec.ts
@@ -118,7 +118,7 @@
     await vi.waitFor(() => {
       expect(text).toMatch(/^HTTP\/1.1 (200 [^]*x{1000}$|503 )/);
     }, { timeout: 3 * PIECES * PIECE_MS });
-    await vi.waitFor(async () => expect(await rig.countOpen()).toBe(0));
+    await vi.waitFor(async () => expect(await rig.countOpenRequests()).toBe(0));
   });
 
   // A caller may use an idle connection within the time that was announced with its last answer.
--- a/tests/relay/crashing-requests-search.spec.ts
+++ b/tests/relay/crashing-requests-search.spec.ts
@@ -84,11 +84,11 @@
 
   private async replaceLeader(): Promise<void> {
     const { control } = this.site;
-    const leader = await control.waitLeader();
+    const leader = await control.waitForLeader();
     this.leaderTimes.push(performance.now());
     await control.stop(leader);
     await control.start(leader, false);
-    await control.waitLeader();
+    await control.waitForLeader();
     this.leaderTimes.push(performance.now());
   }
 }
--- a/tests/relay/crashing-requests.spec.ts
+++ b/tests/relay/crashing-requests.spec.ts
@@ -108,8 +108,8 @@
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
     const before = started.fatalCount;
-    await started.control.stop(await started.control.waitLeader());
-    await started.control.waitLeader();
+    await started.control.stop(await started.control.waitForLeader());
+    await started.control.waitForLeader();
     await started.addEntry();
     const codes = await Promise.all(
       Array.from({ length: started.entryCount }, async (unused, entry) => (
@@ -123,8 +123,8 @@
   it('should have its crashes added up over a change of leaders', async () => {
     const started = await start(true);
     await started.send(0, FATAL_TEXT);
-    await started.control.stop(await started.control.waitLeader());
-    await started.control.waitLeader();
+    await started.control.stop(await started.control.waitForLeader());
+    await started.control.waitForLeader();
     await sendInTurn(started, FATAL_TEXT, SENDS);
     expect(started.fatalCount).toBeLessThanOrEqual(MAX_FATAL_REQUESTS);
     expect((await started.listSuspects())[0]?.refusedMs).toBeGreaterThan(0);
@@ -147,8 +147,8 @@
     const started = await start(true);
     await sendInTurn(started, FATAL_TEXT, SENDS);
     const [{ fingerprint = '' } = {}] = await started.listSuspects();
-    await waitFor(() => started.control.holdsFile('suspects.log', fingerprint), 'all replicas remember it');
-    await started.control.restartForgetful('suspects.log', LATE_MS);
+    await waitFor(() => started.control.hasTextInAllFiles('suspects.log', fingerprint), 'all replicas remember it');
+    await started.control.restartWithOneCopy('suspects.log', LATE_MS);
     const before = started.fatalCount;
     await waitFor(async () => (await started.listSuspects()).length > 0, 'the leader hears of it');
     const entry = await started.addEntry();
--- a/tests/relay/leader-changes.spec.ts
+++ b/tests/relay/leader-changes.spec.ts
@@ -29,7 +29,7 @@
 
   const stopLeader = async (atMs: number): Promise<void> => {
     await pause(atMs);
-    const leader = await site.control.waitLeader();
+    const leader = await site.control.waitForLeader();
     await site.control.stop(leader);
     await site.control.start(leader, false);
   };
@@ -38,7 +38,7 @@
     Array.from({ length: BURSTS * BURST }, async (unused, position) => {
       await pause(Math.floor(position / BURST) * GAP_MS);
       return site.send(position, body)
-        .then(({ status, code, isWhole }) => `${status} ${code}${isWhole ? '' : 'cut'}`, (error: Error) => `cut: ${error.message}`);
+        .then(({ status, code, isComplete: isComplete }) => `${status} ${code}${isComplete ? '' : 'cut'}`, (error: Error) => `cut: ${error.message}`);
     }),
   );
 
--- a/tests/relay/leaving-servers.spec.ts
+++ b/tests/relay/leaving-servers.spec.ts
@@ -7,7 +7,7 @@
 import { WorkerRecord } from '../../src/protocol/generated/beechlift';
 import type { RelayRig } from '../fakes/relayRig';
 import type { ServerScript } from '../fakes/scriptedServer';
-import { callRig, serveAll, startRig } from '../fakes/sheddingCalls';
+import { sendRequest, serveAll, startRig } from '../fakes/sheddingCalls';
 import { SheddingServer } from '../fakes/sheddingServer';
 
 describe('a server that reports in an answer that it is leaving', () => {
@@ -21,7 +21,7 @@
     return rig;
   };
 
-  const call = async (started: RelayRig): Promise<number> => (await callRig(started)).status;
+  const call = async (started: RelayRig): Promise<number> => (await sendRequest(started)).status;
 
   const callInTurn = (started: RelayRig, count: number): Promise<number[]> => (
     Array.from({ length: count }).reduce<Promise<number[]>>(
@@ -72,7 +72,7 @@
     const first = call(started);
     await pause(20);
     const others = await Promise.all([call(started), call(started), call(started)]);
-    expect(leaving.hasLeft).toBe(true);
+    expect(leaving.hasAnnouncedLeaving).toBe(true);
     expect([await first, ...others]).toEqual([200, 200, 200, 200]);
   });
 
--- a/tests/relay/odd-answers.spec.ts
+++ b/tests/relay/odd-answers.spec.ts
@@ -42,7 +42,7 @@
   const kinds = ['stream', 'idempotent'] as const;
 
   afterEach(async () => {
-    expect([await rig.countOpen(), rig.site.workers.byId.get('w0')?.inFlight]).toEqual([0, 0]);
+    expect([await rig.countOpenRequests(), rig.site.workers.byId.get('w0')?.inFlight]).toEqual([0, 0]);
     await rig.close();
   });
 
--- a/tests/relay/open-requests.spec.ts
+++ b/tests/relay/open-requests.spec.ts
@@ -42,7 +42,7 @@
   });
 
   const waitNone = (): Promise<void> => vi.waitFor(async () => {
-    expect(await rig.countOpen()).toBe(0);
+    expect(await rig.countOpenRequests()).toBe(0);
   }, { timeout: SETTLE_MS });
 
   // Fault: a caller disconnected while its request waited for a lease. The entry then waited half a
@@ -51,7 +51,7 @@
     vi.spyOn(rig.site, 'isServing', 'get').mockReturnValue(false);
     const socket = await openConnection(`POST /orders/7 HTTP/1.1\r\n${HEAD}content-length: 1\r\n\r\nx`);
     await pause(50);
-    expect(await rig.countOpen()).toBe(1);
+    expect(await rig.countOpenRequests()).toBe(1);
     socket.destroy();
     await pause(50);
     vi.restoreAllMocks();
--- a/tests/relay/resting-servers-site.spec.ts
+++ b/tests/relay/resting-servers-site.spec.ts
@@ -6,7 +6,7 @@
 import type { SiteAnswer } from '../fakes/routedSite';
 import { makeRoute } from '../fakes/routings';
 import { SheddingServer } from '../fakes/sheddingServer';
-import type { ShedAnswer } from '../fakes/sheddingServer';
+import type { SheddingAnswer } from '../fakes/sheddingServer';
 
 const ENTRIES = 2;
 const SENDS = 80;
@@ -21,7 +21,7 @@
 /** Long enough for a slot to become free even while this process is busy. */
 const TARGET_MS = 2_000;
 
-const serveAll = (): ShedAnswer => ({ delayMs: 30 });
+const serveAll = (): SheddingAnswer => ({ delayMs: 30 });
 
 describe('engines of a site that ask for a backoff or leave', () => {
   let site: RoutedSite | undefined;
@@ -51,7 +51,7 @@
     const resting = new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS);
     const started = await start(resting, new SheddingServer(serveAll));
     const answers = await sendInTurn(started);
-    expect(resting.mostInRest).toBe(0);
+    expect(resting.maxDuringBackoff).toBe(0);
     expect(answers.filter(({ code }) => REFUSED_CODES.includes(code))).toEqual([]);
   });
 
@@ -60,7 +60,7 @@
     const leaving = new SheddingServer(() => ({ isLeaving: true }), ON_ITS_WAY_MS);
     const started = await start(leaving, new SheddingServer(serveAll));
     const answers = await sendInTurn(started);
-    expect(leaving.lateCount).toBe(0);
+    expect(leaving.countAfterLeaving).toBe(0);
     expect(answers.filter(({ code }) => REFUSED_CODES.includes(code))).toEqual([]);
   });
 
@@ -68,7 +68,7 @@
     const servers = [0, 1].map(() => (
       new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS)));
     const answers = await sendInTurn(await start(...servers));
-    expect(Math.max(...servers.map(({ mostInRest }) => mostInRest)))
+    expect(Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff)))
       .toBeLessThanOrEqual(MAX_IN_BACKOFF);
     const refused = answers.filter(({ code }) => code === 'backendsResting');
     expect(refused.length).toBeGreaterThan(SENDS / 2);
--- a/tests/relay/resting-servers.spec.ts
+++ b/tests/relay/resting-servers.spec.ts
@@ -8,10 +8,10 @@
 import { runSearchAsync } from '../fakes/runSearch';
 import { sendAnswer } from '../fakes/scriptedServer';
 import type { ServerScript } from '../fakes/scriptedServer';
-import { callRig, serveAll, startRig } from '../fakes/sheddingCalls';
+import { sendRequest, serveAll, startRig } from '../fakes/sheddingCalls';
 import type { CallerAnswer } from '../fakes/sheddingCalls';
 import { SheddingServer } from '../fakes/sheddingServer';
-import type { ShedAnswer } from '../fakes/sheddingServer';
+import type { SheddingAnswer } from '../fakes/sheddingServer';
 
 /** Most requests that may reach a server within a backoff. */
 const MAX_IN_BACKOFF = 2;
@@ -35,7 +35,7 @@
   const callFor = (started: RelayRig, ms: number, gapMs = GAP_MS): Promise<CallerAnswer[]> => (
     Promise.all(Array.from({ length: Math.floor(ms / gapMs) }, async (unused, position) => {
       await pause(position * gapMs);
-      return callRig(started);
+      return sendRequest(started);
     })));
 
   afterEach(async () => {
@@ -48,7 +48,7 @@
     const resting = new SheddingServer(() => ({ status: 503, restMs: 1_800 }));
     const other = new SheddingServer(serveAll);
     const started = await startServers(resting, other);
-    const answers = [await callRig(started), ...await callFor(started, 1_600)];
+    const answers = [await sendRequest(started), ...await callFor(started, 1_600)];
     expect(resting.arrivals).toHaveLength(1);
     expect(answers.filter(({ status }) => status !== 200)).toEqual([]);
   });
@@ -60,7 +60,7 @@
     const started = await startServers(resting, new SheddingServer(() => ({ delayMs: 200 })));
     await callFor(started, 1_400, 25);
     expect(resting.arrivals.length).toBeGreaterThan(1);
-    expect(resting.mostInRest).toBe(0);
+    expect(resting.maxDuringBackoff).toBe(0);
   });
 
   // If all servers are backing off, neither requests nor retries may use them as a last resort.
@@ -68,7 +68,7 @@
     const servers = [1_200, 1_500].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
     const answers = await callFor(await startServers(...servers), 1_400);
-    expect(servers.map(({ mostInRest }) => mostInRest <= MAX_IN_BACKOFF)).toEqual([true, true]);
+    expect(servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF)).toEqual([true, true]);
     expect(new Set(answers.map(({ status }) => status))).toEqual(new Set([503]));
   });
 
@@ -77,9 +77,9 @@
     const servers = [2_000, 3_000].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
     const started = await startServers(...servers);
-    await callRig(started);
+    await sendRequest(started);
     const sentAt = performance.now();
-    const answers = await Promise.all(Array.from({ length: 20 }, () => callRig(started)));
+    const answers = await Promise.all(Array.from({ length: 20 }, () => sendRequest(started)));
     expect(performance.now() - sentAt).toBeLessThan(300);
     const times = answers.map(({ retryMs }) => retryMs);
     expect(Math.min(...times)).toBeGreaterThan(1_600);
@@ -92,7 +92,7 @@
     const servers = [0, 1, 2].map((offset) => new SheddingServer((count) => (
       (7 * count + 3 * offset) % 10 < 3 ? { status: 503, restMs: 600 } : {})));
     const answers = await callFor(await startServers(...servers), 3_000, 250);
-    expect(servers.map(({ mostInRest }) => mostInRest <= MAX_IN_BACKOFF))
+    expect(servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF))
       .toEqual([true, true, true]);
     const served = answers.filter(({ status }) => status === 200).length;
     expect(served / answers.length).toBeGreaterThan(0.8);
@@ -107,7 +107,7 @@
       setTimeout(() => socket.destroy(), 500);
     };
     const started = await start({ kind: 'stream', isResumable: true, maxAttempts: 3 }, resting.script, breakOff);
-    await callRig(started);
+    await sendRequest(started);
     expect(resting.arrivals).toHaveLength(1);
   });
 
@@ -119,7 +119,7 @@
       sendAnswer(socket, 'r1', 'full', 503, 'x-rest-ms: 1200\r\n');
     };
     const started = await start({}, failOnce, new SheddingServer(serveAll).script);
-    await callRig(started);
+    await sendRequest(started);
     await callFor(started, 1_000, 50);
     expect(resting.arrivals).toBe(1);
   });
@@ -135,11 +135,11 @@
     const all = fc.array(plan, { minLength: 1, maxLength: 3 });
     const property = fc.asyncProperty(all, async (plans) => {
       const servers = plans.map((answers) => (
-        new SheddingServer((count) => answers[count % answers.length] as ShedAnswer)));
+        new SheddingServer((count) => answers[count % answers.length] as SheddingAnswer)));
       const started = await startServers(...servers);
       await callFor(started, 1_600, 10);
       await started.close();
-      const most = Math.max(...servers.map(({ mostInRest }) => mostInRest));
+      const most = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
       if (most > MAX_IN_BACKOFF) throw new Error(`${most} requests within a rest`);
     });
     expect(await runSearchAsync(property, { runs: 4, seed: 4_711 })).toBeGreaterThan(0);
--- a/tests/relay/routed-request.spec.ts
+++ b/tests/relay/routed-request.spec.ts
@@ -187,7 +187,7 @@
     await started.send(`GET /orders/7 HTTP/1.1\r\n${HOST}\r\n`, 100);
     await pause(100);
     expect(started.received).toHaveLength(1);
-    expect(started.findServer(0).closed).toBe(1);
+    expect(started.findServer(0).closedCount).toBe(1);
   });
 
   it('should answer with an error at the timeout of the route', async () => {
--- a/tests/relay/site-watch.spec.ts
+++ b/tests/relay/site-watch.spec.ts
@@ -63,7 +63,7 @@
     start(asked.addresses);
     await pause(2_000);
     // The first search and one search a second, each with three replicas.
-    expect(asked.questions).toBeLessThanOrEqual(9);
+    expect(asked.watchRequestCount).toBeLessThanOrEqual(9);
   });
 
   it('should learn of a leader at once from the asked replicas and get its lease there', async () => {
@@ -71,7 +71,7 @@
     const site = start(asked.addresses);
     await pause(500);
     const startedAt = systemClock.now();
-    asked.lead(4);
+    asked.setLeader(4);
     await waitFor(() => site.isServing, 'the entry has a lease');
     expect(systemClock.now() - startedAt).toBeLessThan(250);
   });
@@ -86,7 +86,7 @@
       if (left >= 0) throw new Error('cannot be read');
       return { routing: makeRouting({}), faults: [] };
     }, { ...makeLogger('test', 'silent'), error });
-    asked.lead(2);
+    asked.setLeader(2);
     await waitFor(() => site.isServing, 'the entry has a lease');
     expect(left).toBeLessThan(0);
     expect(error.mock.calls.map(([, fields]) => fields?.reason)).toContain('Error: cannot be read');
@@ -112,14 +112,14 @@
    */
   it('should let its watch request be held longer, the more entries use the same leader', async () => {
     const asked = await listen();
-    asked.lead(0);
+    asked.setLeader(0);
     const site = start(asked.addresses);
     await waitFor(() => site.isServing, 'the entry has a lease');
     await pause(300);
-    const before = asked.questions;
+    const before = asked.watchRequestCount;
     await pause(2_000);
     // 400 watch requests a second of 200 entries: two a second of each.
-    expect(asked.questions - before).toBeLessThanOrEqual(5);
+    expect(asked.watchRequestCount - before).toBeLessThanOrEqual(5);
     expect(asked.holdMs).toBeLessThan(LEASE_MS / 3);
   });
 
@@ -129,13 +129,13 @@
    */
   it('should exchange only watch requests while it is idle', async () => {
     const asked = await listen();
-    asked.lead(0);
+    asked.setLeader(0);
     const site = start(asked.addresses);
     await waitFor(() => site.isServing, 'the entry has a lease');
     await pause(1_500);
-    const before = asked.countPieces();
+    const before = asked.countChunks();
     await pause(2_000);
     // Two watch requests a second, each one chunk in either direction, and protocol messages.
-    expect(asked.countPieces() - before).toBeLessThanOrEqual(2 * (2 * 2 + 2));
+    expect(asked.countChunks() - before).toBeLessThanOrEqual(2 * (2 * 2 + 2));
   });
 });
--- a/tests/relay/stopping-entry.spec.ts
+++ b/tests/relay/stopping-entry.spec.ts
@@ -5,14 +5,14 @@
 import { RelaySite } from '../../src/relay/relaySite';
 import type { CallerResult, RawCaller } from '../fakes/rawCaller';
 import {
-  checkRefused, checkStatus, makeStoppingCalls, REACH_MS,
+  checkRefused, checkStatus, makeStoppingCalls, MAX_DELIVERY_MS,
 } from '../fakes/stoppingCalls';
-import type { Headers } from '../fakes/stoppingCalls';
+import type { AnswerHeaders } from '../fakes/stoppingCalls';
 import {
   GRACE_MS, LOCATE_MS, StoppingSite, TOKENS_HEADER,
 } from '../fakes/stoppingSite';
 import type { StoppingSiteOptions } from '../fakes/stoppingSite';
-import { findPath, makeStoppingRouting } from '../fakes/stoppingRoutes';
+import { formatRoutePath, makeStoppingRouting } from '../fakes/stoppingRoutes';
 import type { StoppingRoute } from '../fakes/stoppingRoutes';
 
 /** Duration of an answer that takes longer than the grace period. */
@@ -30,7 +30,7 @@
   site = await StoppingSite.start({ routing: makeStoppingRouting(), ...options });
 };
 
-const { askFor, makeRequest } = makeStoppingCalls(() => site);
+const { sendTo: sendTo, makeRequest } = makeStoppingCalls(() => site);
 
 afterEach(async () => {
   vi.restoreAllMocks();
@@ -39,7 +39,7 @@
 
 describe('a request that arrives while an entry shuts down', () => {
   // An answer that cannot be completed before the entry ends must not be started.
-  it.each<[StoppingRoute, Headers]>([
+  it.each<[StoppingRoute, AnswerHeaders]>([
     ['long', {}],
     ['longOnce', {}],
     ['stream', { 'x-form': 'stream' }],
@@ -48,11 +48,11 @@
     await start();
     const kept = await site.open();
     const headers = { ...form, 'x-lasts': LONG_MS };
-    checkStatus(await askFor(route, headers, kept), 200);
+    checkStatus(await sendTo(route, headers, kept), 200);
     const stopping = site.stop();
-    await pause(REACH_MS);
+    await pause(MAX_DELIVERY_MS);
     const results = await Promise.all([
-      askFor(route, headers, kept), askFor(route, headers),
+      sendTo(route, headers, kept), sendTo(route, headers),
     ]);
     results.forEach(checkRefused);
     expect(site.runs).toHaveLength(1);
@@ -60,17 +60,17 @@
   });
 
   // Default estimates of a server's pace must not count as measurements.
-  it.each<[string, Headers]>([
+  it.each<[string, AnswerHeaders]>([
     ['that is not sent', {}],
     ['that is sent', { [TOKENS_HEADER]: LONG_EVENTS }],
   ])('should be refused as not run if no pace was measured, with a length %s', async (name, lengthHeaders) => {
     await start();
     const kept = await site.open();
-    checkStatus(await askFor('brief', {}, kept), 200);
+    checkStatus(await sendTo('brief', {}, kept), 200);
     const stopping = site.stop();
-    await pause(REACH_MS);
+    await pause(MAX_DELIVERY_MS);
     const headers = { ...lengthHeaders, 'x-form': 'stream', 'x-lasts': LONG_MS };
-    checkRefused(await askFor('stream', headers, kept));
+    checkRefused(await sendTo('stream', headers, kept));
     await stopping;
   });
 
@@ -78,10 +78,10 @@
   it.each<StoppingRoute>(['brief', 'briefOnce'])('should be served if its answer can end in time: %s', async (route) => {
     await start();
     const kept = await site.open();
-    checkStatus(await askFor(route, {}, kept), 200);
+    checkStatus(await sendTo(route, {}, kept), 200);
     const stopping = site.stop();
-    await pause(REACH_MS);
-    const results = await Promise.all([askFor(route, {}, kept), askFor(route)]);
+    await pause(MAX_DELIVERY_MS);
+    const results = await Promise.all([sendTo(route, {}, kept), sendTo(route)]);
     results.forEach((result) => {
       checkStatus(result, 200);
       expect(result.answer?.headers.connection).toBe('close');
@@ -92,15 +92,15 @@
 
 describe('requests that are open at the end of the grace period', () => {
   // A caller whose connection is closed without an answer cannot know whether its request ran.
-  it.each<[string, StoppingRoute, Headers]>([
+  it.each<[string, StoppingRoute, AnswerHeaders]>([
     ['plain', 'long', { 'x-lasts': 4 * LONG_MS }],
     ['plain, which may run once', 'longOnce', { 'x-lasts': 4 * LONG_MS }],
     ['stream without a head', 'stream', { 'x-form': 'stream', 'x-head-after': 4 * LONG_MS }],
     ['resumable stream without a head', 'resumable', { 'x-form': 'stream', 'x-head-after': 4 * LONG_MS }],
   ])('should be answered as possibly run if they are at a server: %s', async (name, route, headers) => {
     await start();
-    const asked = askFor(route, headers);
-    await pause(REACH_MS);
+    const asked = sendTo(route, headers);
+    await pause(MAX_DELIVERY_MS);
     await site.stop();
     const result = await asked;
     checkStatus(result, 502);
@@ -115,29 +115,29 @@
    */
   it.each<StoppingRoute>(['long', 'longOnce', 'stream'])('should be refused as not run, and not run, while they wait for a slot: %s', async (route) => {
     await start({
-      isHeld: true,
+      holdsSlotRequests: true,
       routing: makeStoppingRouting({
         services: [{ name: 'rooms', maxConnections: 100, isEngine: true }],
       }),
     });
-    const asked = askFor(route, { 'x-lasts': LONG_MS });
-    await pause(REACH_MS);
+    const asked = sendTo(route, { 'x-lasts': LONG_MS });
+    await pause(MAX_DELIVERY_MS);
     expect(site.runs).toEqual([]);
     await site.stop();
     const result = await asked;
-    await pause(REACH_MS);
+    await pause(MAX_DELIVERY_MS);
     expect(site.runs).toEqual([]);
     checkRefused(result);
   });
 
   // Covers requests that wait until the entry has a lease.
   it('should be refused as not run while they wait for a lease', async () => {
-    await start({ isLeased: false });
-    const asked = askFor('long');
-    await pause(REACH_MS);
+    await start({ hasLease: false });
+    const asked = sendTo('long');
+    await pause(MAX_DELIVERY_MS);
     const stopping = site.stop();
     await pause(LOCATE_MS / 2);
-    const late = askFor('long');
+    const late = sendTo('long');
     await stopping;
     checkRefused(await asked);
     checkRefused(await late);
@@ -148,22 +148,22 @@
   it('should be refused as not run when they arrive at the end of the grace period', async () => {
     await start({ graceMs: LONG_GRACE_MS });
     const kept = await site.open();
-    checkStatus(await askFor('brief', {}, kept), 200);
-    const streamed = askFor('stream', { 'x-form': 'stream', 'x-lasts': 2 * LONG_GRACE_MS });
-    await pause(REACH_MS);
+    checkStatus(await sendTo('brief', {}, kept), 200);
+    const streamed = sendTo('stream', { 'x-form': 'stream', 'x-lasts': 2 * LONG_GRACE_MS });
+    await pause(MAX_DELIVERY_MS);
     const stopping = site.stop();
     await pause(0.92 * LONG_GRACE_MS);
     vi.spyOn(RelaySite.prototype, 'isServing', 'get').mockReturnValue(false);
-    const result = await askFor('long', {}, kept);
+    const result = await sendTo('long', {}, kept);
     await Promise.all([stopping, streamed]);
     checkRefused(result);
   });
 
   // A reply of the leader that cannot be processed must not abort open requests.
   it('should be answered if the shutdown cannot be reported to the leader', async () => {
-    await start({ isHeld: true });
-    const asked = askFor('long', { 'x-lasts': LOCATE_MS });
-    await pause(REACH_MS);
+    await start({ holdsSlotRequests: true });
+    const asked = sendTo('long', { 'x-lasts': LOCATE_MS });
+    await pause(MAX_DELIVERY_MS);
     vi.spyOn(RelaySite.prototype, 'applyReply').mockImplementation(() => {
       throw new Error('no such answer');
     });
@@ -174,8 +174,8 @@
   // An aborted stream must not look complete.
   it('should be aborted in the middle of a stream that does not end', async () => {
     await start();
-    const asked = askFor('stream', { 'x-form': 'stream', 'x-lasts': 4 * LONG_MS });
-    await pause(REACH_MS);
+    const asked = sendTo('stream', { 'x-form': 'stream', 'x-lasts': 4 * LONG_MS });
+    await pause(MAX_DELIVERY_MS);
     await site.stop();
     const { answer, partial } = await asked;
     expect(answer).toBeUndefined();
@@ -188,11 +188,11 @@
   it('should answer open requests and end within the grace period', async () => {
     const graceMs = LOCATE_MS / 2;
     await start({ graceMs });
-    const asked = askFor('longOnce', { 'x-lasts': LONG_MS });
-    await pause(REACH_MS);
+    const asked = sendTo('longOnce', { 'x-lasts': LONG_MS });
+    await pause(MAX_DELIVERY_MS);
     const signalAt = performance.now();
     await site.stop();
-    expect(performance.now() - signalAt).toBeLessThan(graceMs + REACH_MS / 2);
+    expect(performance.now() - signalAt).toBeLessThan(graceMs + MAX_DELIVERY_MS / 2);
     checkStatus(await asked, 502);
   });
 });
@@ -200,11 +200,11 @@
 describe('finished answers to slow readers', () => {
   const fill = async (route: StoppingRoute): Promise<[RawCaller, Promise<CallerResult>]> => {
     const [server] = site.servers;
-    if (server) server.isFull = () => site.countWaitingBytes() > 0;
+    if (server) server.isReaderBlocked = () => site.countWaitingBytes() > 0;
     const caller = await site.open();
-    const asked = caller.askHeld(makeRequest(route, { 'x-form': 'bulk' }));
-    await Promise.race([server?.whenFilled, asked]);
-    await pause(REACH_MS);
+    const asked = caller.sendPaused(makeRequest(route, { 'x-form': 'bulk' }));
+    await Promise.race([server?.bulkEnded, asked]);
+    await pause(MAX_DELIVERY_MS);
     expect(site.countWaitingBytes()).toBeGreaterThan(0);
     return [caller, asked];
   };
@@ -215,7 +215,7 @@
     await start();
     const [caller, asked] = await fill(route);
     const stopping = site.stop();
-    await pause(LOCATE_MS + REACH_MS);
+    await pause(LOCATE_MS + MAX_DELIVERY_MS);
     caller.resumeReading();
     checkStatus(await asked, 200);
     await stopping;
@@ -242,13 +242,13 @@
 
   // Closing a connection with unread input resets it, and the caller then loses the refusal.
   it.each<[string, string, number]>([
-    ['too long a body', findPath('brief'), 413],
+    ['too long a body', formatRoutePath('brief'), 413],
     ['no route', '/nowhere/7', 404],
   ])('should reach the caller whole: %s', async (name, path, status) => {
     await start({ routing: makeStoppingRouting({ limits }) });
     const stopping = site.stop();
     const caller = await site.open();
-    checkStatus(await caller.askSlowly({ id: 'e', path, body: longBody }), status);
+    checkStatus(await caller.sendSlowly({ id: 'e', path, body: longBody }), status);
     await stopping;
   });
 
@@ -257,8 +257,8 @@
     await start();
     const caller = await site.open();
     const headers = { 'x-long': 'x'.repeat(20_000) };
-    checkStatus(await caller.askSlowly({
-      id: 'e', path: findPath('brief'), headers, body: longBody,
+    checkStatus(await caller.sendSlowly({
+      id: 'e', path: formatRoutePath('brief'), headers, body: longBody,
     }), 431);
   });
 
@@ -266,12 +266,12 @@
   it('should reach the caller whole: the entry leaves', async () => {
     await start();
     const kept = await site.open();
-    const lastsMs = LOCATE_MS + 2 * REACH_MS;
-    const streamed = askFor('stream', { 'x-form': 'stream', 'x-lasts': lastsMs }, kept);
-    await pause(REACH_MS);
+    const lastsMs = LOCATE_MS + 2 * MAX_DELIVERY_MS;
+    const streamed = sendTo('stream', { 'x-form': 'stream', 'x-lasts': lastsMs }, kept);
+    await pause(MAX_DELIVERY_MS);
     const stopping = site.stop();
     checkStatus(await streamed, 200);
-    const result = await kept.askSlowly({ ...makeRequest('brief'), body: longBody });
+    const result = await kept.sendSlowly({ ...makeRequest('brief'), body: longBody });
     if (result.answer?.status !== 200) checkRefused(result);
     await stopping;
   });
--- a/tests/scenarios/steps.ts
+++ b/tests/scenarios/steps.ts
@@ -5,7 +5,7 @@
 import type { VerifyRecord } from '../../src/verify/records';
 import { verifyRecords } from '../../src/verify/verifyRecords';
 import { makeExpectedText } from '../fakes/engineModel';
-import type { EngineStandIn } from '../fakes/engineStandIn';
+import type { FakeEngine } from '../fakes/fakeEngine';
 import { SilentProxy } from '../fakes/silentProxy';
 import {
   makeManifest, OPERATOR_KEY, TestSite, waitUntil,
@@ -36,7 +36,7 @@
   readonly proxies: SilentProxy[] = [];
 
   /** Requests that an engine had when it left. */
-  dispatchedAtLeaving = 0;
+  dispatchedBeforeLeaving = 0;
 
   /** The entry that owned the pool and was killed. */
   owner: SiteProcess | undefined;
@@ -47,8 +47,8 @@
     return this.site.entries[position - 1] as SiteProcess;
   }
 
-  findEngine(position: number): EngineStandIn {
-    return this.site.engines[position - 1] as EngineStandIn;
+  findEngine(position: number): FakeEngine {
+    return this.site.engines[position - 1] as FakeEngine;
   }
 
   countDispatched(): number {
@@ -63,7 +63,7 @@
     this.records.push({
       kind: 'sent', request, identity: key, prompt,
     });
-    const answer = await this.site.ask(entry, prompt, { key, tokens: TOKENS })
+    const answer = await this.site.send(entry, prompt, { key, tokens: TOKENS })
       .catch(() => undefined);
     this.records.push({
       kind: 'answer',
@@ -141,12 +141,12 @@
 });
 
 When('every caller without an answer sends again through entry {int}', async function sendAgain(this: ScenarioWorld, entry: number) {
-  const isOpen = ({ answer }: Caller) => answer?.status !== 200;
-  const sendOpen = () => Promise.all(this.callers.filter(isOpen)
+  const isUnanswered = ({ answer }: Caller) => answer?.status !== 200;
+  const sendUnanswered = () => Promise.all(this.callers.filter(isUnanswered)
     .map((caller) => this.send(caller, this.findEntry(entry))));
   await waitUntil('all have their answers', async () => {
-    await sendOpen();
-    return !this.callers.some(isOpen);
+    await sendUnanswered();
+    return !this.callers.some(isUnanswered);
   });
 });
 
@@ -162,7 +162,7 @@
 });
 
 When('the open connections of the device go silent', function silence(this: ScenarioWorld) {
-  this.proxies.forEach((proxy) => proxy.silence());
+  this.proxies.forEach((proxy) => proxy.dropTraffic());
 });
 
 When('an operator submits version {int}', async function submit(this: ScenarioWorld, version: number) {
@@ -177,7 +177,7 @@
   await this.site.waitForVersion(1);
 });
 
-const submitRaces = (world: ScenarioWorld, count: number) => Promise.all(
+const submitConcurrently = (world: ScenarioWorld, count: number) => Promise.all(
   Array.from({ length: count }, (unused, position) => new OperatorClient(
     [world.site.controlAddresses[position] ?? ''],
     OPERATOR_KEY,
@@ -185,14 +185,14 @@
 );
 
 When('{int} operators submit different manifests of version 2 through different replicas', async function race(this: ScenarioWorld, count: number) {
-  this.attach(JSON.stringify(await submitRaces(this, count)), 'application/json');
+  this.attach(JSON.stringify(await submitConcurrently(this, count)), 'application/json');
 });
 
 When('engine {int} leaves', async function leave(this: ScenarioWorld, position: number) {
   const engine = this.findEngine(position);
   engine.state = 'leaving';
   await engine.announce();
-  this.dispatchedAtLeaving = engine.dispatched.length;
+  this.dispatchedBeforeLeaving = engine.dispatched.length;
 });
 
 When('entry {int} is shut down', async function shutDown(this: ScenarioWorld, entry: number) {
@@ -200,7 +200,7 @@
 });
 
 Given('the engines take orders and ignore fencing numbers', async function takeOrders(this: ScenarioWorld) {
-  this.site.engines.forEach((engine) => engine.setOrders({ loadMs: 300, ignoresFencing: true }));
+  this.site.engines.forEach((engine) => engine.setOrderTraits({ loadMs: 300, ignoresFencing: true }));
 });
 
 When('an operator submits version {int} with a new model version', async function submitModel(this: ScenarioWorld, version: number) {
@@ -229,22 +229,22 @@
 });
 
 Then('every engine carries the new model version', async function checkModel(this: ScenarioWorld) {
-  await waitUntil('all carry it', () => this.site.engines.every(({ carried }) => (
-    carried?.models[0]?.modelVersion === NEW_MODEL)));
+  await waitUntil('all carry it', () => this.site.engines.every(({ appliedOrder: appliedOrder }) => (
+    appliedOrder?.models[0]?.modelVersion === NEW_MODEL)));
 });
 
 Then('no answer was cut by an order', function checkOrders(this: ScenarioWorld) {
-  const cut = this.site.engines.reduce((sum, { cutByOrders }) => sum + cutByOrders, 0);
-  if (cut > 0) throw new Error(`${cut} answers ran when an order came`);
+  const interrupted = this.site.engines.reduce((sum, { interruptedByOrders: interruptedByOrders }) => sum + interruptedByOrders, 0);
+  if (interrupted > 0) throw new Error(`${interrupted} answers ran when an order came`);
 });
 
 Then('engine {int} got at most the {int} requests that were granted before it left', function checkLeft(this: ScenarioWorld, position: number, granted: number) {
-  const late = this.findEngine(position).dispatched.length - this.dispatchedAtLeaving;
+  const late = this.findEngine(position).dispatched.length - this.dispatchedBeforeLeaving;
   if (late > granted) throw new Error(`${late} requests came after it left`);
 });
 
 Then('one of them is accepted, also when all send again', async function checkRace(this: ScenarioWorld) {
-  const replies = await submitRaces(this, this.site.controls.length);
+  const replies = await submitConcurrently(this, this.site.controls.length);
   const accepted = replies.filter(({ code }) => code === 0);
   if (accepted.length !== 1) throw new Error(`${accepted.length} were accepted`);
 });
--- a/tests/site/caller-errors.spec.ts
+++ b/tests/site/caller-errors.spec.ts
@@ -75,15 +75,15 @@
   it('should refuse a key that was used with another body', async () => {
     const [entry] = site.entries;
     if (!entry) throw new Error('no entry');
-    expect((await site.ask(entry, 'one', { key: 'k1' })).status).toBe(200);
-    const answer = await site.ask(entry, 'two', { key: 'k1' });
+    expect((await site.send(entry, 'one', { key: 'k1' })).status).toBe(200);
+    const answer = await site.send(entry, 'two', { key: 'k1' });
     expect([answer.status, answer.body.error?.name]).toEqual([422, 'keyReused']);
   });
 
   it('should refuse an account beyond its concurrency, with a Retry-After header', async () => {
     const [entry] = site.entries;
     if (!entry) throw new Error('no entry');
-    const long = site.ask(entry, 'long', { apiKey: 'narrow', tokens: 200 });
+    const long = site.send(entry, 'long', { apiKey: 'narrow', tokens: 200 });
     const waitFor = async (): Promise<number> => (await site.readStatus(entry)).open || waitFor();
     await waitFor();
     const answer = await post('/v1/completions', makeBody(), { authorization: 'Bearer narrow' });
--- a/tests/site/connection-failures.spec.ts
+++ b/tests/site/connection-failures.spec.ts
@@ -37,9 +37,9 @@
    */
   it('should resume an answer when its connection stops delivering data', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
-    const asked = site.ask(entry, 'long', { tokens: 100, key: 'k' });
+    const asked = site.send(entry, 'long', { tokens: 100, key: 'k' });
     await waitUntil('it has begun', () => engine.dispatched.length === 1);
-    proxy.silence();
+    proxy.dropTraffic();
     expect((await asked).text).toBe(makeExpectedText('long', 100));
     expect(engine.dispatched).toHaveLength(1);
   });
@@ -51,8 +51,8 @@
   it('should deliver every event once when the engine drops its connections', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
     engine.model.fault = 'drop';
-    const asked = site.ask(entry, 'long', { tokens: 80 });
-    await waitUntil('it was dropped', () => proxy.connections >= 4);
+    const asked = site.send(entry, 'long', { tokens: 80 });
+    await waitUntil('it was dropped', () => proxy.connectionCount >= 4);
     engine.model.fault = 'none';
     expect((await asked).text).toBe(makeExpectedText('long', 80));
     expect(engine.dispatched).toHaveLength(1);
@@ -64,7 +64,7 @@
    */
   it('should not claim that a request did not run when its engine died', async () => {
     const engine = await addEngineBehindProxy({ decodeMs: 20 });
-    const asked = site.ask(
+    const asked = site.send(
       entry,
       'issue a room',
       { tokens: 100, key: 'k', headers: { 'beechlift-non-idempotent': 'true' } },
@@ -92,7 +92,7 @@
     const answers = await Promise.all(
       Array.from(
         { length: 5 },
-        (unused, position) => site.ask(entry, `p${position}`, { key: `k${position}`, tokens: 20, tier: 'history' }),
+        (unused, position) => site.send(entry, `p${position}`, { key: `k${position}`, tokens: 20, tier: 'history' }),
       ),
     );
     expect(answers.map(({ status }) => status)).toEqual([200, 200, 200, 200, 200]);
@@ -109,10 +109,10 @@
     await proxy.start();
     const proxiedEntry = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
     await waitUntil('it serves', async () => (await site.readStatus(proxiedEntry)).isServing);
-    proxy.silence();
+    proxy.dropTraffic();
     await site.submit(makeManifest(2));
     await site.waitForVersion(2);
-    expect(proxy.connections).toBeGreaterThan(1);
+    expect(proxy.connectionCount).toBeGreaterThan(1);
   });
 
   /*
@@ -125,7 +125,7 @@
     await proxy.start();
     const isolatedEntry = await site.addEntry('e9', 'az-1', [{ id: 'c1', address: proxy.address, zone: 'az-1' }]);
     await waitUntil('it serves', async () => (await site.readStatus(isolatedEntry)).isServing);
-    proxy.setCut(true);
+    proxy.setPartitioned(true);
     await site.submit(makeManifest(2));
     await site.waitForVersion(2);
     await waitUntil('control has received no heartbeat for 4 s', async () => {
--- a/tests/site/control-failures.spec.ts
+++ b/tests/site/control-failures.spec.ts
@@ -72,17 +72,17 @@
   it('should refuse new work as not run without a control quorum, and come back by itself', async () => {
     const engine = await site.addEngine('g1');
     const [entry] = site.entries as [SiteProcess];
-    const running = site.ask(entry, 'long', { tokens: 900 });
+    const running = site.send(entry, 'long', { tokens: 900 });
     await waitUntil('it has begun', () => engine.dispatched.length === 1);
     await Promise.all(site.controls.slice(0, 2).map((control) => site.kill(control)));
     await waitUntil('the lease is over', async () => !(await site.readStatus(entry)).isServing);
-    const refused = await site.ask(entry, 'short');
+    const refused = await site.send(entry, 'short');
     expect(
       [refused.status, refused.body.error?.name, refused.body.error?.run],
     ).toEqual([503, 'configurationStale', 'notRun']);
     expect((await running).text).toBe(makeExpectedText('long', 900));
     site.controls.slice(0, 2).forEach((control) => site.restart(control));
-    await waitUntil('it serves again', async () => (await site.ask(entry, 'short')).status === 200);
+    await waitUntil('it serves again', async () => (await site.send(entry, 'short')).status === 200);
     expect(engine.dispatched).toHaveLength(2);
   });
 
@@ -102,7 +102,7 @@
       const { members } = await site.readControl();
       return members.every(({ member, silentMs }) => member?.id !== entry.id || silentMs > 4_000);
     });
-    const answerAfterPause = site.ask(entry, 'short');
+    const answerAfterPause = site.send(entry, 'short');
     site.freeze(entry, false);
     expect((await answerAfterPause).status).not.toBe(200);
     expect(engine.dispatched).toHaveLength(0);
@@ -129,7 +129,7 @@
   it('should lose neither manifests nor claims when a second VM is lost right after a repair', async () => {
     const engine = await site.addEngine('g1');
     const [entry] = site.entries as [SiteProcess];
-    const before = await site.ask(entry, 'issue a room', { key: 'room-1' });
+    const before = await site.send(entry, 'issue a room', { key: 'room-1' });
     await site.submit(makeManifest(2));
     const replaced = site.controls.find(({ id }) => id === 'c2') as SiteProcess;
     await site.kill(replaced);
@@ -146,7 +146,7 @@
     const again = await site.submit(makeManifest(2));
     expect(again.code).toBe(0);
     await waitUntil('entries serve', async () => (await site.readStatus(entry)).isServing);
-    const after = await site.ask(entry, 'issue a room', { key: 'room-1' });
+    const after = await site.send(entry, 'issue a room', { key: 'room-1' });
     expect(after.text).toBe(before.text);
     expect(engine.dispatched).toHaveLength(1);
   });
@@ -158,13 +158,13 @@
   it('should keep accepted manifests and claims after all processes were killed', async () => {
     const engine = await site.addEngine('g1');
     const [entry] = site.entries as [SiteProcess];
-    const before = await site.ask(entry, 'issue a room', { key: 'room-1' });
+    const before = await site.send(entry, 'issue a room', { key: 'room-1' });
     await site.submit(makeManifest(2));
     const all = [...site.controls, ...site.entries];
     await Promise.all(all.map((member) => site.kill(member)));
     all.forEach((member) => site.restart(member));
     await site.waitForVersion(2);
-    expect((await site.ask(entry, 'issue a room', { key: 'room-1' })).text).toBe(before.text);
+    expect((await site.send(entry, 'issue a room', { key: 'room-1' })).text).toBe(before.text);
     expect(engine.dispatched).toHaveLength(1);
   });
 });
--- a/tests/site/entry-failures.spec.ts
+++ b/tests/site/entry-failures.spec.ts
@@ -29,14 +29,14 @@
     const options = {
       key: 'room-17', tokens: 120, headers: { 'beechlift-non-idempotent': 'true' },
     };
-    const lost = site.ask(first, 'issue a room', options).catch(() => undefined);
+    const lost = site.send(first, 'issue a room', options).catch(() => undefined);
     await waitUntil('the engine has begun', () => countDispatched() === 1);
     await site.kill(first);
-    const answer = await site.ask(second, 'issue a room', options);
+    const answer = await site.send(second, 'issue a room', options);
     expect([answer.status, answer.text]).toEqual([200, makeExpectedText('issue a room', 120)]);
     expect(countDispatched()).toBe(1);
     await lost;
-    const replayed = await site.ask(second, 'issue a room', options);
+    const replayed = await site.send(second, 'issue a room', options);
     expect(replayed.text).toBe(answer.text);
     expect(countDispatched()).toBe(1);
   });
@@ -48,9 +48,9 @@
    */
   it('should send nothing when it wakes after its claim was taken over', async () => {
     const engine = await site.addEngine('g1', { slots: 1, decodeMs: 10 });
-    const blocker = site.ask(second, 'blocker', { tokens: 150 });
+    const blocker = site.send(second, 'blocker', { tokens: 150 });
     await waitUntil('the slot is taken', () => engine.dispatched.length === 1);
-    const paused = site.ask(
+    const paused = site.send(
       first,
       'issue a room',
       { key: 'room-18', tokens: 8 },
@@ -63,7 +63,7 @@
     expect(await Promise.race([waits, paused.then((answer) => answer?.body ?? 'no answer')]))
       .toBeUndefined();
     site.freeze(first, true);
-    const answer = await site.ask(second, 'issue a room', { key: 'room-18', tokens: 8 });
+    const answer = await site.send(second, 'issue a room', { key: 'room-18', tokens: 8 });
     expect(answer.text).toBe(makeExpectedText('issue a room', 8));
     site.freeze(first, false);
     const late = await paused;
@@ -79,7 +79,7 @@
   it('should run a key once when it comes to all entries at once', async () => {
     await site.addEngine('g1');
     const asks = Array.from({ length: 8 }, (unused, key) => site.entries.map((entry) => (
-      site.ask(entry, `prompt ${key}`, { key: `k${key}`, tokens: 12 })))).flat();
+      site.send(entry, `prompt ${key}`, { key: `k${key}`, tokens: 12 })))).flat();
     const answers = await Promise.all(asks);
     expect(countDispatched()).toBe(8);
     const whole = answers.filter(({ status }) => status === 200);
@@ -99,9 +99,9 @@
    */
   it('should not treat a dispatch that is still in flight as lost', async () => {
     const engine = await site.addEngine('g1', { arriveMs: 700 });
-    const asked = site.ask(first, 'late', { key: 'k', tokens: 12 });
-    await waitUntil('the dispatch is in flight', () => engine.arriving.size === 1);
-    const again = await site.ask(second, 'late', { key: 'k', tokens: 12 });
+    const asked = site.send(first, 'late', { key: 'k', tokens: 12 });
+    await waitUntil('the dispatch is in flight', () => engine.receivedIds.size === 1);
+    const again = await site.send(second, 'late', { key: 'k', tokens: 12 });
     expect([(await asked).text, again.text]).toEqual(Array(2).fill(makeExpectedText('late', 12)));
     expect(countDispatched()).toBe(1);
   });
@@ -115,7 +115,7 @@
     const owner = await site.findOwner();
     const others = site.entries.filter((entry) => entry !== owner);
     const asks = Array.from({ length: 24 }, (unused, position) => (
-      site.ask(
+      site.send(
         others[position % 2] as SiteProcess,
         `prompt ${position}`,
         { tokens: 30, key: `o${position}` },
@@ -136,7 +136,7 @@
     await site.addEngine('g1', { decodeMs: 10 });
     const running = Array.from(
       { length: 4 },
-      (unused, position) => site.ask(first, `long ${position}`, { tokens: 150 }),
+      (unused, position) => site.send(first, `long ${position}`, { tokens: 150 }),
     );
     await waitUntil('all have begun', () => countDispatched() === 4);
     const ended = site.kill(first, 'SIGTERM');
@@ -158,13 +158,13 @@
    */
   it('should send nothing new to a backend server that leaves', async () => {
     const leaving = await site.addEngine('g1', { decodeMs: 10 });
-    const running = site.ask(first, 'long', { tokens: 150 });
+    const running = site.send(first, 'long', { tokens: 150 });
     await waitUntil('it has begun', () => leaving.dispatched.length === 1);
     const staying = await site.addEngine('g2');
     leaving.state = 'leaving';
     await leaving.announce();
     const answers = await Promise.all(
-      site.entries.flatMap((entry) => Array.from({ length: 5 }, () => site.ask(entry, 'short'))),
+      site.entries.flatMap((entry) => Array.from({ length: 5 }, () => site.send(entry, 'short'))),
     );
     expect(answers.every(({ status }) => status === 200)).toBe(true);
     expect([leaving.dispatched.length, staying.dispatched.length]).toEqual([1, 15]);
--- a/tests/site/orders.spec.ts
+++ b/tests/site/orders.spec.ts
@@ -2,7 +2,7 @@
   afterEach, beforeEach, describe, expect, it,
 } from 'vitest';
 import { makeExpectedText } from '../fakes/engineModel';
-import type { EngineStandIn } from '../fakes/engineStandIn';
+import type { FakeEngine } from '../fakes/fakeEngine';
 import { makeManifest, TestSite, waitUntil } from '../fakes/testSite';
 import type { SiteProcess } from '../fakes/testSite';
 
@@ -12,8 +12,8 @@
   limits: { locateMs: 300, loadsPerMinute: 120 },
 });
 
-const readCarried = ({ carried }: EngineStandIn): string | undefined => (
-  carried?.models[0]?.modelVersion
+const readCarried = ({ appliedOrder: appliedOrder }: FakeEngine): string | undefined => (
+  appliedOrder?.models[0]?.modelVersion
 );
 
 describe('orders under failure', () => {
@@ -28,7 +28,7 @@
   const addEngines = (options: object) => Promise.all(['g1', 'g2'].map((id) => (
     site.addEngine(id, { loadMs: 300, decodeMs: 10, ...options }))));
 
-  const waitForVersion = (engines: readonly EngineStandIn[], version: string) => (
+  const waitForVersion = (engines: readonly FakeEngine[], version: string) => (
     waitUntil(`all engines carry ${version}`, () => (
       engines.every((engine) => readCarried(engine) === version))));
 
@@ -45,7 +45,7 @@
       prompt: string,
       before: string[],
     ): Promise<string[]> => {
-      const { text } = await site.ask(entry, prompt, { tokens: 60, tier: 'history' });
+      const { text } = await site.send(entry, prompt, { tokens: 60, tier: 'history' });
       return isRolling ? askUntilRolledOut(entry, prompt, [...before, text]) : [...before, text];
     };
     const asked = Array.from({ length: 6 }, (unused, position) => (
@@ -56,7 +56,7 @@
     const wrong = answers.flatMap((texts, position) => (
       texts.filter((text) => text !== makeExpectedText(`p${position}`, 60))));
     expect(wrong).toEqual([]);
-    expect(engines.map(({ cutByOrders }) => cutByOrders)).toEqual([0, 0]);
+    expect(engines.map(({ interruptedByOrders: interruptedByOrders }) => interruptedByOrders)).toEqual([0, 0]);
   });
 
   /*
@@ -82,8 +82,8 @@
     const engines = await addEngines({});
     await site.submit(makeVersion(2));
     await waitForVersion(engines, 'v2');
-    const [first] = engines as [EngineStandIn];
-    first.forgetOrders();
+    const [first] = engines as [FakeEngine];
+    first.resetOrders();
     await waitForVersion(engines, 'v2');
     expect(first.orders).toHaveLength(1);
   });
--- a/tests/site/service-failures.spec.ts
+++ b/tests/site/service-failures.spec.ts
@@ -2,7 +2,7 @@
   afterEach, beforeEach, describe, expect, it,
 } from 'vitest';
 import { request } from 'undici';
-import { ServiceStandIn } from '../fakes/serviceStandIn';
+import { FakeService } from '../fakes/fakeService';
 import {
   API_KEY, makeManifest, TestSite, waitUntil,
 } from '../fakes/testSite';
@@ -12,7 +12,7 @@
   let site: TestSite;
   let first: SiteProcess;
   let second: SiteProcess;
-  let services: ServiceStandIn[];
+  let services: FakeService[];
   let timer: NodeJS.Timeout;
 
   beforeEach(async () => {
@@ -36,8 +36,8 @@
     await site.stop();
   });
 
-  const addService = async (id: string): Promise<ServiceStandIn> => {
-    const service = new ServiceStandIn(id, site.entries.map(({ address }) => address));
+  const addService = async (id: string): Promise<FakeService> => {
+    const service = new FakeService(id, site.entries.map(({ address }) => address));
     await service.start();
     services.push(service);
     await waitUntil(`${id} is known`, async () => (await site.listWorkers()).includes(id));
