--- a/bench/counts.ts
+++ b/bench/counts.ts
@@ -12,9 +12,9 @@
   Announcement, AskRequest, ClaimRecord, HeartbeatReply, HeartbeatRequest, ReportRequest,
 } from '../src/protocol/generated/beechlift';
 
-const DECISIONS = 500;
-const HARDWARE_TYPES = 3;
-const SHA256_DIGITS = 64;
+const DECISION_COUNT = 500;
+const HARDWARE_TYPE_COUNT = 3;
+const SHA256_HEX_LENGTH = 64;
 
 const config: ScheduleConfig = {
   tiers: {
@@ -47,14 +47,14 @@
     kind: 'announce',
     announcement: Announcement.fromPartial({
       id: `w${position}`,
-      hardware: `h${position % HARDWARE_TYPES}`,
+      hardware: `h${position % HARDWARE_TYPE_COUNT}`,
       zone: 'az-1',
       models: ['guide'],
       slots: 8,
       state: 'ready',
     }),
   }, 0));
-  Array.from({ length: DECISIONS }).forEach((unused, position) => {
+  Array.from({ length: DECISION_COUNT }).forEach((unused, position) => {
     handleScheduleEvent(tables, {
       kind: 'ask',
       ask: AskRequest.fromPartial({
@@ -80,10 +80,10 @@
       }),
     }, position);
   });
-  return tables.comparisons / DECISIONS;
+  return tables.comparisons / DECISION_COUNT;
 };
 
-const hash = 'a'.repeat(SHA256_DIGITS);
+const digest = 'a'.repeat(SHA256_HEX_LENGTH);
 const member = {
   id: 'entry-101',
   incarnation: '0a1b2c3d-0a1b-2c3d-4e5f-0a1b2c3d4e5f',
@@ -99,7 +99,7 @@
   operators: {},
   tiers: config.tiers,
   accounts: Object.fromEntries(Array.from({ length: accounts }, (unused, position) => [`account-${position}`, {
-    keyHashes: [hash],
+    keyHashes: [digest],
     tiers: ['door', 'guide'],
     concurrency: position === 7 ? version : 64,
     tokensPerMinute: 0,
@@ -112,15 +112,15 @@
   limits: config.limits,
 });
 
-const countDeltaBytes = (accounts: number): number => {
+const measureDeltaBytes = (accounts: number): number => {
   const changes = diffManifests(makeManifest(accounts, 1), makeManifest(accounts, 2));
   return HeartbeatReply.encode(HeartbeatReply.fromPartial({
     leaseMs: 3_000,
     manifestVersion: 2,
-    manifestDigest: hash,
+    manifestDigest: digest,
     viewNumber: 9,
     holders: { number: 3, current: replicas, previous: [] },
-    delta: { baseVersion: 1, baseDigest: hash, changes },
+    delta: { baseVersion: 1, baseDigest: digest, changes },
   })).finish().length;
 };
 
@@ -130,17 +130,17 @@
   'comparisons per decision, 1,000 workers': countComparisons(1_000),
   'comparisons per decision, 3,000 workers': countComparisons(3_000),
   'bytes of a heartbeat': HeartbeatRequest.encode({
-    member, manifestVersion: 12_345, manifestDigest: hash, viewNumber: 999,
+    member, manifestVersion: 12_345, manifestDigest: digest, viewNumber: 999,
   }).finish().length,
   'bytes of an unchanged answer to a heartbeat': HeartbeatReply.encode(HeartbeatReply.fromPartial({
     leaseMs: 3_000,
     manifestVersion: 12_345,
-    manifestDigest: hash,
+    manifestDigest: digest,
     viewNumber: 999,
     holders: { number: 3, current: replicas, previous: [] },
   })).finish().length,
-  'bytes of one change among 100 accounts': countDeltaBytes(100),
-  'bytes of one change among 13,000 accounts': countDeltaBytes(13_000),
+  'bytes of one change among 100 accounts': measureDeltaBytes(100),
+  'bytes of one change among 13,000 accounts': measureDeltaBytes(13_000),
   'bytes of a view of 340 entries': HeartbeatReply.encode(HeartbeatReply.fromPartial({
     view: { number: 9, members: Array.from({ length: 340 }, () => member) },
   })).finish().length,
@@ -164,9 +164,9 @@
 const bounds = JSON.parse(readFileSync('bench/bounds.json', 'utf8')) as Record<string, number>;
 const rows = Object.entries(counts)
   .map(([name, count]) => ({ name, count, bound: bounds[name] ?? 0 }));
-const broken = rows.filter(({ count, bound }) => count > bound);
+const exceeded = rows.filter(({ count, bound }) => count > bound);
 
 rows.forEach(({ name, count, bound }) => {
   console.log(`${name}: ${count} (at most ${bound})${count > bound ? '  BROKEN' : ''}`);
 });
-if (process.argv.includes('--check') && broken.length > 0) process.exitCode = 1;
+if (process.argv.includes('--check') && exceeded.length > 0) process.exitCode = 1;
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -11,13 +11,13 @@
 import { PlacementModel } from '../tests/core/placementModel';
 import type { ModelOutcome, ModelWorkload } from '../tests/core/placementModel';
 
-const SECONDS = 34;
+const RUN_SECONDS = 34;
 
 /** Eight engines of speeds 1 to 5, long reports above captions above short tags. */
 const restorers: ModelWorkload = {
   slots: 14,
   slowness: [1, 1, 1, 1.8, 1.8, 1.8, 5, 5],
-  seconds: SECONDS,
+  seconds: RUN_SECONDS,
   burst: { from: 8, to: 20, times: 2 },
   kinds: [
     {
@@ -65,19 +65,19 @@
   kinds: restorers.kinds.map((kind) => ({ ...kind, lateWorth: 0.1 * kind.worth })),
 };
 
-const sheets = { restorers, kiosks } as const;
+const workloads = { restorers, kiosks } as const;
 
-const formatMean = (outcomes: readonly ModelOutcome[], key: keyof ModelOutcome): string => {
+const formatMeanAndRange = (outcomes: readonly ModelOutcome[], key: keyof ModelOutcome): string => {
   const values = outcomes.map((outcome) => outcome[key]);
   const mean = values.reduce((sum, value) => sum + value, 0) / values.length;
-  const spread = Math.max(...values) - Math.min(...values);
-  return `${mean.toFixed(3)} (${spread.toFixed(3)})`;
+  const range = Math.max(...values) - Math.min(...values);
+  return `${mean.toFixed(3)} (${range.toFixed(3)})`;
 };
 
 const columns: readonly (keyof ModelOutcome)[] = ['worth', 'onTime', 'late', 'refused', 'cut'];
 
-const formatGain = (outcomes: readonly ModelOutcome[], base: readonly ModelOutcome[]): string => {
-  const gains = outcomes.map(({ worth }, position) => worth - (base[position]?.worth ?? 0));
+const formatGain = (outcomes: readonly ModelOutcome[], baseline: readonly ModelOutcome[]): string => {
+  const gains = outcomes.map(({ worth }, position) => worth - (baseline[position]?.worth ?? 0));
   const mean = gains.reduce((sum, gain) => sum + gain, 0) / gains.length;
   return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)}, ${gains.filter((gain) => gain > 0).length} up`;
 };
@@ -85,10 +85,10 @@
 const printRow = (
   name: string,
   outcomes: readonly ModelOutcome[],
-  base: readonly ModelOutcome[],
+  baseline: readonly ModelOutcome[],
 ): void => {
-  const cells = columns.map((key) => formatMean(outcomes, key).padStart(20));
-  process.stdout.write(`${name.padEnd(34)}${cells.join('')}${formatGain(outcomes, base).padStart(20)}\n`);
+  const cells = columns.map((key) => formatMeanAndRange(outcomes, key).padStart(20));
+  process.stdout.write(`${name.padEnd(34)}${cells.join('')}${formatGain(outcomes, baseline).padStart(20)}\n`);
 };
 
 const args = yargs(hideBin(process.argv))
@@ -100,15 +100,15 @@
   .parseSync();
 
 const seeds = Array.from({ length: args.seeds }, (unused, position) => position + 1);
-const titles = [...columns, 'by seed'].map((title) => title.padStart(20));
+const headers = [...columns, 'by seed'].map((title) => title.padStart(20));
 
-const runAll = (sheet: ModelWorkload, off: readonly Mechanism[]): ModelOutcome[] => (
-  seeds.map((seed) => new PlacementModel(sheet, seed, off).run())
+const runWorkload = (workload: ModelWorkload, off: readonly Mechanism[]): ModelOutcome[] => (
+  seeds.map((seed) => new PlacementModel(workload, seed, off).run())
 );
 
-process.stdout.write(`mean (spread) of ${args.seeds} plays of ${SECONDS} s\n${''.padEnd(34)}${titles.join('')}\n`);
-Object.entries(sheets).forEach(([name, sheet]) => {
-  const base = runAll(sheet, []);
-  printRow(name, base, base);
-  args.off.forEach((off) => printRow(`${name} without ${off}`, runAll(sheet, [off]), base));
+process.stdout.write(`mean (spread) of ${args.seeds} plays of ${RUN_SECONDS} s\n${''.padEnd(34)}${headers.join('')}\n`);
+Object.entries(workloads).forEach(([name, workload]) => {
+  const baseline = runWorkload(workload, []);
+  printRow(name, baseline, baseline);
+  args.off.forEach((off) => printRow(`${name} without ${off}`, runWorkload(workload, [off]), baseline));
 });
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -5,14 +5,14 @@
  */
 import { writeFileSync } from 'node:fs';
 import type { PolicySettings } from '../src/core/schedule/scheduleTypes';
-import { KIOSK_SHAPE, makeArrivals, REGISTRY_SHAPE } from './policyLoad';
+import { KIOSK_WORKLOAD, makeArrivals, REGISTRY_WORKLOAD } from './policyLoad';
 import type { Arrival } from './policyLoad';
 import { PolicySite } from './policySite';
 import type { EngineTotals, Outcome } from './policySite';
 
-const SHAPES = {
-  kiosk: { tiers: KIOSK_SHAPE, capacity: 110 },
-  registry: { tiers: REGISTRY_SHAPE, capacity: 75 },
+const WORKLOADS = {
+  kiosk: { tiers: KIOSK_WORKLOAD, capacity: 110 },
+  registry: { tiers: REGISTRY_WORKLOAD, capacity: 75 },
 } as const;
 
 const POLICIES: Readonly<Record<string, Partial<PolicySettings>>> = {
@@ -27,16 +27,16 @@
   } : {}),
 };
 
-const ENTRIES = 8;
-const FAULT_AFTER = 0.2;
+const ENTRY_COUNT = 8;
+const FAULT_START_SHARE = 0.2;
 const SEED = Number(process.env.SEED ?? 20_261);
 
-const [shapeName = 'kiosk', secondsText = '10', ...loadTexts] = process.argv.slice(2);
-const shape = SHAPES[shapeName as keyof typeof SHAPES];
+const [workloadName = 'kiosk', secondsText = '10', ...loadTexts] = process.argv.slice(2);
+const workload = WORKLOADS[workloadName as keyof typeof WORKLOADS];
 const seconds = Number(secondsText);
 const loads = loadTexts.length > 0 ? loadTexts.map(Number) : [0.7, 1, 1.5, 3];
 
-interface Row {
+interface PolicyResult {
   readonly policy: string;
   readonly load: number;
   readonly sent: number;
@@ -50,31 +50,31 @@
   readonly kinds: Record<string, number>;
 }
 
-const findQuantile = (values: readonly number[], quantile: number): number => {
+const computeQuantile = (values: readonly number[], quantile: number): number => {
   const sorted = [...values].sort((a, b) => a - b);
   return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? 0);
 };
 
-const countKinds = (outcomes: readonly Outcome[]): Record<string, number> => outcomes
+const countByKind = (outcomes: readonly Outcome[]): Record<string, number> => outcomes
   .map(({ kind, name }) => (kind === 'refused' ? `refused ${name}` : kind))
   .reduce<Record<string, number>>(
     (counts, kind) => ({ ...counts, [kind]: (counts[kind] ?? 0) + 1 }),
     {},
   );
 
-const readTiers = <Value>(read: (name: string) => Value): Record<string, Value> => (
-  Object.fromEntries(shape.tiers.map(({ name }) => [name, read(name)])));
+const collectByTier = <Value>(read: (name: string) => Value): Record<string, Value> => (
+  Object.fromEntries(workload.tiers.map(({ name }) => [name, read(name)])));
 
-const sumOutcomes = (
+const summarizeOutcomes = (
   policy: string,
   load: number,
   outcomes: readonly Outcome[],
   before: EngineTotals,
   after: EngineTotals,
-): Row => {
-  const pickTier = (name: string) => outcomes.filter(({ tier }) => tier === name);
-  const pickInTime = (items: readonly Outcome[]) => items.filter(({ kind }) => kind === 'inTime');
-  const readTimes = (name: string) => pickInTime(pickTier(name))
+): PolicyResult => {
+  const selectByTier = (name: string) => outcomes.filter(({ tier }) => tier === name);
+  const selectInTime = (items: readonly Outcome[]) => items.filter(({ kind }) => kind === 'inTime');
+  const listFirstTokenTimes = (name: string) => selectInTime(selectByTier(name))
     .map(({ firstTokenMs }) => firstTokenMs);
   const wasted = after.wastedTokens - before.wastedTokens;
   const answered = outcomes.filter(({ kind }) => kind !== 'refused').length;
@@ -82,16 +82,16 @@
     policy,
     load,
     sent: outcomes.length,
-    inTime: pickInTime(outcomes).length,
-    goodput: readTiers(
-      (name) => (pickInTime(pickTier(name)).length / Math.max(1, pickTier(name).length)).toFixed(3),
+    inTime: selectInTime(outcomes).length,
+    goodput: collectByTier(
+      (name) => (selectInTime(selectByTier(name)).length / Math.max(1, selectByTier(name).length)).toFixed(3),
     ),
-    firstTokenP50: readTiers((name) => findQuantile(readTimes(name), 0.5)),
-    firstTokenP99: readTiers((name) => findQuantile(readTimes(name), 0.99)),
+    firstTokenP50: collectByTier((name) => computeQuantile(listFirstTokenTimes(name), 0.5)),
+    firstTokenP99: collectByTier((name) => computeQuantile(listFirstTokenTimes(name), 0.99)),
     wasted: Math.round(wasted),
     wastedShare: (wasted / Math.max(1, after.prefilledTokens - before.prefilledTokens)).toFixed(4),
     doubled: Math.max(0, after.dispatched - before.dispatched - answered),
-    kinds: countKinds(outcomes),
+    kinds: countByKind(outcomes),
   };
 };
 
@@ -104,7 +104,7 @@
   if (!fault) return site.run(arrivals);
   const timer = setTimeout(() => {
     site.setFault(0, fault).catch(console.error);
-  }, seconds * 1_000 * FAULT_AFTER);
+  }, seconds * 1_000 * FAULT_START_SHARE);
   const outcomes = await site.run(arrivals);
   clearTimeout(timer);
   await site.setFault(0, 'none');
@@ -114,25 +114,25 @@
 const runLoads = async (
   site: PolicySite,
   policy: string,
-): Promise<Row[]> => loads.reduce<Promise<Row[]>>(
-  async (earlier, load) => {
-    const rows = await earlier;
-    const arrivals = makeArrivals(shape.tiers, shape.capacity * load, seconds, SEED);
+): Promise<PolicyResult[]> => loads.reduce<Promise<PolicyResult[]>>(
+  async (previous, load) => {
+    const rows = await previous;
+    const arrivals = makeArrivals(workload.tiers, workload.capacity * load, seconds, SEED);
     const before = await site.readTotals();
     const outcomes = await runWithFault(site, arrivals);
-    const row = sumOutcomes(policy, load, outcomes, before, await site.readTotals());
+    const row = summarizeOutcomes(policy, load, outcomes, before, await site.readTotals());
     console.log(JSON.stringify(row));
     return [...rows, row];
   },
   Promise.resolve([]),
 );
 
-const runPolicy = async (name: string): Promise<Row[]> => {
-  const site = new PolicySite(POLICIES[name] ?? {}, shape.tiers);
+const runPolicy = async (name: string): Promise<PolicyResult[]> => {
+  const site = new PolicySite(POLICIES[name] ?? {}, workload.tiers);
   try {
-    await site.start(ENTRIES);
+    await site.start(ENTRY_COUNT);
     // Warms up what every policy learns, on other arrivals.
-    await site.run(makeArrivals(shape.tiers, shape.capacity * 0.5, 4, SEED + 1));
+    await site.run(makeArrivals(workload.tiers, workload.capacity * 0.5, 4, SEED + 1));
     return await runLoads(site, name);
   } finally {
     await site.stop();
@@ -140,12 +140,12 @@
 };
 
 const runAll = async (): Promise<void> => {
-  const chosen = process.env.POLICIES?.split(',') ?? Object.keys(POLICIES);
-  const rows = await chosen.reduce<Promise<Row[]>>(
-    async (earlier, name) => [...await earlier, ...await runPolicy(name)],
+  const selectedPolicies = process.env.POLICIES?.split(',') ?? Object.keys(POLICIES);
+  const rows = await selectedPolicies.reduce<Promise<PolicyResult[]>>(
+    async (previous, name) => [...await previous, ...await runPolicy(name)],
     Promise.resolve([]),
   );
-  writeFileSync(`dist/policy-${shapeName}.json`, JSON.stringify(rows, null, 2));
+  writeFileSync(`dist/policy-${workloadName}.json`, JSON.stringify(rows, null, 2));
 };
 
 runAll().then(() => process.exit(0)).catch((error: unknown) => {
--- a/bench/policyLoad.ts
+++ b/bench/policyLoad.ts
@@ -22,7 +22,7 @@
 }
 
 /** Kiosks: mostly short and urgent. */
-export const KIOSK_SHAPE: readonly TierShape[] = [
+export const KIOSK_WORKLOAD: readonly TierShape[] = [
   {
     name: 'door', share: 0.2, promptTokens: [20, 100], outputTokens: [4, 16], firstTokenMs: 400, totalMs: 1_500, sharesPrefix: false,
   },
@@ -38,7 +38,7 @@
 ];
 
 /** Registry: more long histories, which are costly to redo. */
-export const REGISTRY_SHAPE: readonly TierShape[] = KIOSK_SHAPE.map((tier, position) => ({
+export const REGISTRY_WORKLOAD: readonly TierShape[] = KIOSK_WORKLOAD.map((tier, position) => ({
   ...tier, share: [0.1, 0.25, 0.2, 0.45][position] ?? 0,
 }));
 
@@ -52,23 +52,23 @@
 const CHARACTERS_PER_TOKEN = 4;
 
 const pickByShare = <Item>(items: readonly (readonly [Item, number])[], draw: number): Item => {
-  let left = draw;
+  let remaining = draw;
   const found = items.find(([, share]) => {
-    left -= share;
-    return left <= 0;
+    remaining -= share;
+    return remaining <= 0;
   });
   if (found) return found[0];
   return (items.at(-1) as readonly [Item, number])[0];
 };
 
-const fillText = (seed: string, tokens: number): string => (
+const makeText = (seed: string, tokens: number): string => (
   `${seed} `.repeat(Math.ceil((tokens * CHARACTERS_PER_TOKEN) / (seed.length + 1)))
     .slice(0, tokens * CHARACTERS_PER_TOKEN)
 );
 
 /** The same arrivals for every policy: Poisson, from a seed. */
 export const makeArrivals = (
-  shape: readonly TierShape[],
+  workload: readonly TierShape[],
   perSecond: number,
   seconds: number,
   seed: number,
@@ -76,22 +76,22 @@
   const generator = prand.xoroshiro128plus(seed);
   const draw = (): number => (
     prand.unsafeUniformIntDistribution(1, 1_000_000, generator) / 1_000_001);
-  const drawBetween = ([low, high]: readonly [number, number]): number => (
+  const drawLogUniform = ([low, high]: readonly [number, number]): number => (
     Math.round(low * (high / low) ** draw()));
   let atMs = 0;
   return Array.from({ length: Math.round(perSecond * seconds) }, (unused, position) => {
     atMs += (-Math.log(draw()) / perSecond) * 1_000;
-    const tier = pickByShare(shape.map((item) => [item, item.share] as const), draw());
+    const tier = pickByShare(workload.map((item) => [item, item.share] as const), draw());
     const account = pickByShare(Object.entries(ACCOUNT_SHARES), draw());
     const document = Math.floor(draw() * PREFIX_DOCUMENTS);
-    const prefix = tier.sharesPrefix ? fillText(`rules of ${account} ${document}`, PREFIX_TOKENS) : '';
-    const rest = Math.max(8, drawBetween(tier.promptTokens) - prefix.length / CHARACTERS_PER_TOKEN);
+    const prefix = tier.sharesPrefix ? makeText(`rules of ${account} ${document}`, PREFIX_TOKENS) : '';
+    const ownTokens = Math.max(8, drawLogUniform(tier.promptTokens) - prefix.length / CHARACTERS_PER_TOKEN);
     return {
       atMs,
       tier,
       account,
-      prompt: `${prefix}${fillText(`question ${position} `, rest)}`,
-      outputTokens: drawBetween(tier.outputTokens),
+      prompt: `${prefix}${makeText(`question ${position} `, ownTokens)}`,
+      outputTokens: drawLogUniform(tier.outputTokens),
     };
   });
 };
--- a/bench/policySite.ts
+++ b/bench/policySite.ts
@@ -34,7 +34,7 @@
   readonly dispatched: number;
 }
 
-interface StreamedChunk {
+interface StreamChunk {
   readonly choices?: readonly { readonly text: string }[];
 }
 
@@ -46,16 +46,16 @@
 
   private readonly engines: BenchEngine[] = [];
 
-  constructor(policy: Partial<PolicySettings>, private readonly shape: readonly TierShape[]) {
+  constructor(policy: Partial<PolicySettings>, private readonly workload: readonly TierShape[]) {
     this.site.entryProgram = ['dist/benchEntry.cjs', JSON.stringify(policy)];
   }
 
   /** Starts everything; every entry knows every engine it must. */
   async start(entries: number): Promise<void> {
     const accounts = Object.fromEntries(Object.keys(ACCOUNT_SHARES).map((name) => [name, {
-      keyHashes: [hashKey(name)], tiers: this.shape.map((tier) => tier.name), concurrency: 1_900,
+      keyHashes: [hashKey(name)], tiers: this.workload.map((tier) => tier.name), concurrency: 1_900,
     }]));
-    const tiers = Object.fromEntries(this.shape.map((
+    const tiers = Object.fromEntries(this.workload.map((
       { name, firstTokenMs, totalMs },
       rank,
     ) => [name, {
@@ -79,11 +79,11 @@
 
   /** Sums up what the engines did so far. */
   async readTotals(): Promise<EngineTotals> {
-    const all = await Promise.all(this.engines.map(async ({ address }) => {
+    const totals = await Promise.all(this.engines.map(async ({ address }) => {
       const response = await request(`http://${address}/v1/stats`);
       return await response.body.json() as EngineTotals;
     }));
-    return all.reduce((sum, item) => ({
+    return totals.reduce((sum, item) => ({
       prefilledTokens: sum.prefilledTokens + item.prefilledTokens,
       wastedTokens: sum.wastedTokens + item.wastedTokens,
       dispatched: sum.dispatched + item.dispatched,
@@ -137,7 +137,7 @@
           name: (JSON.parse(text) as { error: { name: string } }).error.name,
         };
       }
-      return { ...base, firstTokenMs, kind: this.judge(text, arrival, firstTokenMs) };
+      return { ...base, firstTokenMs, kind: this.classifyAnswer(text, arrival, firstTokenMs) };
     } catch (error) {
       return {
         ...base,
@@ -147,14 +147,14 @@
     }
   }
 
-  private judge(
+  private classifyAnswer(
     text: string,
     { prompt, outputTokens, tier }: Arrival,
     firstTokenMs: number,
   ): Outcome['kind'] {
     const answer = text.split('\n')
       .filter((line) => line.startsWith('data: {'))
-      .map((line) => JSON.parse(line.slice(6)) as StreamedChunk)
+      .map((line) => JSON.parse(line.slice(6)) as StreamChunk)
       .map(({ choices }) => choices?.[0]?.text ?? '')
       .join('');
     if (answer !== makeExpectedText(prompt, outputTokens)) return 'wrong';
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -7,94 +7,94 @@
 import { API_KEY, TestSite } from '../tests/fakes/testSite';
 import { startEngine } from './benchEngine';
 
-const TOKENS = 40;
+const TOKENS_PER_STREAM = 40;
 
 /** How many streams are open at a time, how often, and how fast the engine makes their tokens. */
-interface Level {
+interface LoadLevel {
   readonly streams: number;
   readonly rounds: number;
   readonly decodeMs: number;
 }
 
-const LEVELS: readonly Level[] = [
+const LEVELS: readonly LoadLevel[] = [
   { streams: 1, rounds: 40, decodeMs: 10 },
   { streams: 32, rounds: 6, decodeMs: 10 },
   { streams: 256, rounds: 2, decodeMs: 60 },
 ];
-const NEEDED_SLOTS = 600;
+const ENGINE_SLOTS = 600;
 
-interface Timing {
-  readonly firstMs: number;
+interface StreamTiming {
+  readonly firstTokenMs: number;
   readonly gaps: readonly number[];
 }
 
 const agent = new Agent({ connections: 1_000 });
 
-const findQuantile = (values: readonly number[], quantile: number): number => {
+const computeQuantile = (values: readonly number[], quantile: number): number => {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? 0;
 };
 
-const measureStream = async (address: string): Promise<Timing> => {
+const measureStream = async (address: string): Promise<StreamTiming> => {
   const startedAt = performance.now();
   const response = await request(`http://${address}/v1/completions`, {
     method: 'POST',
     dispatcher: agent,
     headers: { authorization: `Bearer ${API_KEY}`, 'content-type': 'application/json' },
     body: JSON.stringify({
-      model: 'guide', prompt: 'hello', max_tokens: TOKENS, stream: true,
+      model: 'guide', prompt: 'hello', max_tokens: TOKENS_PER_STREAM, stream: true,
     }),
   });
   const times: number[] = [];
   // eslint-disable-next-line no-restricted-syntax -- a stream is read in order
-  for await (const piece of response.body) {
-    const events = (piece as Buffer).toString().split('data: {').length - 1;
+  for await (const chunk of response.body) {
+    const events = (chunk as Buffer).toString().split('data: {').length - 1;
     if (events > 0) times.push(performance.now());
   }
   const gaps = times.slice(1).map((time, position) => time - (times[position] ?? 0));
-  return { firstMs: (times[0] ?? 0) - startedAt, gaps };
+  return { firstTokenMs: (times[0] ?? 0) - startedAt, gaps };
 };
 
 /** Streams that start one after the other, evenly over the life of one, so that none queues. */
-const measureRound = (address: string, { streams, decodeMs }: Level): Promise<Timing[]> => {
-  const spacingMs = (TOKENS * decodeMs) / streams;
+const measureRound = (address: string, { streams, decodeMs }: LoadLevel): Promise<StreamTiming[]> => {
+  const spacingMs = (TOKENS_PER_STREAM * decodeMs) / streams;
   return Promise.all(Array.from({ length: streams }, async (unused, position) => {
     await pause(position * spacingMs);
     return measureStream(address);
   }));
 };
 
-const measureRounds = (address: string, level: Level): Promise<Timing[]> => (
-  Array.from({ length: level.rounds }).reduce<Promise<Timing[]>>(
-    async (earlier) => [...await earlier, ...await measureRound(address, level)],
+const measureRounds = (address: string, level: LoadLevel): Promise<StreamTiming[]> => (
+  Array.from({ length: level.rounds }).reduce<Promise<StreamTiming[]>>(
+    async (previous) => [...await previous, ...await measureRound(address, level)],
     Promise.resolve([]),
   ));
 
-const formatTimes = (timings: readonly Timing[]): string => {
-  const first = timings.map(({ firstMs }) => firstMs);
-  const gaps = timings.flatMap(({ gaps: all }) => all);
-  return `first ${findQuantile(first, 0.5).toFixed(2)} / ${findQuantile(first, 0.99).toFixed(2)} ms, gap ${findQuantile(gaps, 0.5).toFixed(2)} / ${findQuantile(gaps, 0.99).toFixed(2)} ms`;
+const formatTimings = (timings: readonly StreamTiming[]): string => {
+  const firstTokenTimes = timings.map(({ firstTokenMs: firstTokenMs }) => firstTokenMs);
+  const gaps = timings.flatMap(({ gaps: streamGaps }) => streamGaps);
+  return `first ${computeQuantile(firstTokenTimes, 0.5).toFixed(2)} / ${computeQuantile(firstTokenTimes, 0.99).toFixed(2)} ms, gap ${computeQuantile(gaps, 0.5).toFixed(2)} / ${computeQuantile(gaps, 0.99).toFixed(2)} ms`;
 };
 
-const compareStreams = async (engine: string, entry: string, level: Level): Promise<void> => {
+const compareStreams = async (engine: string, entry: string, level: LoadLevel): Promise<void> => {
   await measureRound(entry, level);
   const direct = await measureRounds(engine, level);
-  const through = await measureRounds(entry, level);
-  const readFirst = (timings: readonly Timing[], quantile: number) => (
-    findQuantile(timings.map(({ firstMs }) => firstMs), quantile));
+  const viaEntry = await measureRounds(entry, level);
+  const computeFirstTokenQuantile = (timings: readonly StreamTiming[], quantile: number) => (
+    computeQuantile(timings.map(({ firstTokenMs: firstTokenMs }) => firstTokenMs), quantile));
   const added = [0.5, 0.99].map((quantile) => (
-    readFirst(through, quantile) - readFirst(direct, quantile)));
+    computeFirstTokenQuantile(viaEntry, quantile) - computeFirstTokenQuantile(direct, quantile)));
   console.log(`${level.streams} streams, a token each ${level.decodeMs} ms (p50 / p99)`);
-  console.log(`  direct:  ${formatTimes(direct)}`);
-  console.log(`  entry:   ${formatTimes(through)}`);
+  console.log(`  direct:  ${formatTimings(direct)}`);
+  console.log(`  entry:   ${formatTimings(viaEntry)}`);
   console.log(`  added to the first token: ${added.map((ms) => ms.toFixed(2)).join(' / ')} ms`);
 };
 
-const runLevel = async (level: Level): Promise<void> => {
+const runLevel = async (level: LoadLevel): Promise<void> => {
   const site = new TestSite();
   await site.start(1, 2);
   const { child, address } = await startEngine(site, {
-    decodeMs: level.decodeMs, slots: NEEDED_SLOTS, isPrompt: true,
+    decodeMs: level.decodeMs, slots: ENGINE_SLOTS, isPrompt: true,
   });
   try {
     await compareStreams(address, site.entries[0]?.address ?? '', level);
@@ -104,12 +104,12 @@
   }
 };
 
-const runRelay = (): Promise<void> => LEVELS.reduce<Promise<void>>(
-  (earlier, level) => earlier.then(() => runLevel(level)),
+const runLevels = (): Promise<void> => LEVELS.reduce<Promise<void>>(
+  (previous, level) => previous.then(() => runLevel(level)),
   Promise.resolve(),
 );
 
-runRelay().then(() => process.exit(0)).catch((error: unknown) => {
+runLevels().then(() => process.exit(0)).catch((error: unknown) => {
   console.error(error);
   process.exit(1);
 });
--- a/bench/shedding.ts
+++ b/bench/shedding.ts
@@ -9,22 +9,22 @@
 import { makeRoute, makeRouting } from '../tests/fakes/routings';
 import { SheddingServer } from '../tests/fakes/sheddingServer';
 
-const SERVERS = 3;
-const SECONDS = 18;
-const REST_MS = 3_000;
-const WORK_MS = 20;
+const SERVER_COUNT = 3;
+const RUN_SECONDS = 18;
+const BACKOFF_MS = 3_000;
+const SERVICE_TIME_MS = 20;
 const SEED = 7;
 const RATES = [4, 12, 40];
-const SPLIT = 1_000;
+const DRAW_RANGE = 1_000;
 const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\nconnection: close\r\n\r\n';
 
 /** How many of the servers shed, and which share of their requests. */
-interface ShedCase {
+interface SheddingCase {
   readonly shedding: number;
   readonly share: number;
 }
 
-const CASES: readonly ShedCase[] = [
+const CASES: readonly SheddingCase[] = [
   { shedding: 0, share: 0 },
   { shedding: 1, share: 0.3 },
   { shedding: 2, share: 0.3 },
@@ -37,36 +37,36 @@
 const makeServer = (share: number, position: number): SheddingServer => {
   const random = prand.xoroshiro128plus(SEED + position);
   return new SheddingServer(() => {
-    const drawn = prand.unsafeUniformIntDistribution(0, SPLIT - 1, random);
-    return drawn < share * SPLIT ? { status: 503, restMs: REST_MS } : { delayMs: WORK_MS };
+    const drawn = prand.unsafeUniformIntDistribution(0, DRAW_RANGE - 1, random);
+    return drawn < share * DRAW_RANGE ? { status: 503, restMs: BACKOFF_MS } : { delayMs: SERVICE_TIME_MS };
   });
 };
 
-const countStatus = (answers: readonly string[], status: number): number => (
+const countByStatus = (answers: readonly string[], status: number): number => (
   answers.filter((answer) => answer.startsWith(`HTTP/1.1 ${status}`)).length);
 
-const runCase = async ({ shedding, share }: ShedCase, rate: number): Promise<string> => {
-  const servers = Array.from({ length: SERVERS }, (unused, position) => (
+const runCase = async ({ shedding, share }: SheddingCase, rate: number): Promise<string> => {
+  const servers = Array.from({ length: SERVER_COUNT }, (unused, position) => (
     makeServer(position < shedding ? share : 0, position)));
   const routing = makeRouting({ routes: [makeRoute({ kind: 'nonIdempotent' })] });
   const rig = await RelayRig.start(routing, servers.map(({ script }) => script));
-  const sends = Array.from({ length: SECONDS * rate }, async (unused, position) => {
+  const sends = Array.from({ length: RUN_SECONDS * rate }, async (unused, position) => {
     await pause((position * 1_000) / rate);
     return rig.send(REQUEST, 2_500);
   });
   const answers = await Promise.all(sends);
   await rig.close();
-  const [served = 0, refused = 0] = [200, 503].map((status) => countStatus(answers, status));
-  const most = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
-  return `${rate}/s, ${shedding} of ${SERVERS} shed ${share}: served ${(served / answers.length).toFixed(3)}, refused ${(refused / answers.length).toFixed(3)}, most in a rest ${most}`;
+  const [served = 0, refused = 0] = [200, 503].map((status) => countByStatus(answers, status));
+  const maxInBackoff = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
+  return `${rate}/s, ${shedding} of ${SERVER_COUNT} shed ${share}: served ${(served / answers.length).toFixed(3)}, refused ${(refused / answers.length).toFixed(3)}, most in a rest ${maxInBackoff}`;
 };
 
 const runRate = async (rate: number): Promise<void> => {
-  const lines = await Promise.all(CASES.map((shedCase) => runCase(shedCase, rate)));
+  const lines = await Promise.all(CASES.map((sheddingCase) => runCase(sheddingCase, rate)));
   lines.forEach((line) => console.log(line));
 };
 
-await RATES.reduce(async (before, rate) => {
-  await before;
+await RATES.reduce(async (previous, rate) => {
+  await previous;
   await runRate(rate);
 }, Promise.resolve());
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -17,77 +17,77 @@
 import type { SiteProcess } from '../tests/fakes/testSite';
 import { startEngine } from './benchEngine';
 
-const MEASURE_MS = 5_000;
+const MEASUREMENT_MS = 5_000;
 const HEARTBEAT_MS = 500;
-const DAEMONS = [8, 32, 64, 128];
+const DAEMON_COUNTS = [8, 32, 64, 128];
 const MIB = 1_048_576;
-const CLOCK_TICKS = 100;
+const CLOCK_TICKS_PER_SECOND = 100;
 
 type Points = readonly (readonly [number, number])[];
 
 /** Processor seconds that a piece of work took, and how long it lasted. */
-interface Spent {
-  readonly cpu: number;
-  readonly seconds: number;
+interface CpuUsage {
+  readonly cpuSeconds: number;
+  readonly elapsedSeconds: number;
 }
 
-interface Fit {
+interface LinearFit {
   readonly slope: number;
-  readonly base: number;
+  readonly intercept: number;
   /** Largest distance from the line, as a share of the largest value. */
   readonly residual: number;
 }
 
-const computeFit = (points: Points): Fit => {
+const computeFit = (points: Points): LinearFit => {
   const n = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n;
-  const over = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0);
-  const under = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
-  const slope = over / under;
-  const base = meanY - slope * meanX;
+  const covariance = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0);
+  const variance = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0);
+  const slope = covariance / variance;
+  const intercept = meanY - slope * meanX;
   const largest = Math.max(...points.map(([, y]) => Math.abs(y)));
-  const residual = Math.max(...points.map(([x, y]) => Math.abs(y - base - slope * x))) / largest;
-  return { slope, base, residual };
+  const residual = Math.max(...points.map(([x, y]) => Math.abs(y - intercept - slope * x))) / largest;
+  return { slope, intercept: intercept, residual };
 };
 
-const printFit = (name: string, unit: string, points: Points): Fit => {
+const printFit = (name: string, unit: string, points: Points): LinearFit => {
   const fit = computeFit(points);
   console.log(`${name}: ${points.map(([x, y]) => `${x}: ${y.toFixed(3)}`).join(', ')}`);
-  console.log(`  = ${fit.base.toFixed(4)} + ${fit.slope.toPrecision(4)} x ${unit}, residual ${(fit.residual * 100).toFixed(1)} %`);
+  console.log(`  = ${fit.intercept.toFixed(4)} + ${fit.slope.toPrecision(4)} x ${unit}, residual ${(fit.residual * 100).toFixed(1)} %`);
   return fit;
 };
 
-const readProc = async (member: SiteProcess, file: string): Promise<string> => {
+const readProcFile = async (siteProcess: SiteProcess, file: string): Promise<string> => {
   const { readFile } = await import('node:fs/promises');
-  return readFile(`/proc/${member.child.pid}/${file}`, 'utf8');
+  return readFile(`/proc/${siteProcess.child.pid}/${file}`, 'utf8');
 };
 
-const readCpuSeconds = async (member: SiteProcess): Promise<number> => {
-  const fields = (await readProc(member, 'stat')).split(') ')[1]?.split(' ') ?? [];
-  return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS;
+const readCpuSeconds = async (siteProcess: SiteProcess): Promise<number> => {
+  const fields = (await readProcFile(siteProcess, 'stat')).split(') ')[1]?.split(' ') ?? [];
+  return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND;
 };
 
-const readMemoryMib = async (member: SiteProcess): Promise<number> => (
-  Number(/VmRSS:\s+(\d+)/.exec(await readProc(member, 'status'))?.[1] ?? 0) * 1_024) / MIB;
+const readMemoryMib = async (siteProcess: SiteProcess): Promise<number> => (
+  Number(/VmRSS:\s+(\d+)/.exec(await readProcFile(siteProcess, 'status'))?.[1] ?? 0) * 1_024) / MIB;
 
 const measureCpu = async (
-  member: SiteProcess,
+  siteProcess: SiteProcess,
   run: () => Promise<unknown>,
-): Promise<Spent> => {
-  const before = await readCpuSeconds(member);
+): Promise<CpuUsage> => {
+  const before = await readCpuSeconds(siteProcess);
   const startedAt = performance.now();
   await run();
-  const seconds = (performance.now() - startedAt) / 1_000;
-  return { cpu: await readCpuSeconds(member) - before, seconds };
+  const elapsedSeconds = (performance.now() - startedAt) / 1_000;
+  return { cpuSeconds: await readCpuSeconds(siteProcess) - before, elapsedSeconds: elapsedSeconds };
 };
 
-const runStep = async <Item>(
+const runInOrder = async <Item>(
   items: readonly Item[],
   run: (item: Item) => Promise<void>,
 ): Promise<void> => {
-  await items.reduce<Promise<void>>(async (earlier, item) => {
-    await earlier;
+  await items.reduce<Promise<void>>(async (previous, item) => {
+    await previous;
     await run(item);
   }, Promise.resolve());
 };
@@ -96,9 +96,9 @@
 const measureHeartbeats = async (site: TestSite): Promise<void> => {
   const [leader] = site.controls as [SiteProcess];
   const points: [number, number][] = [];
-  await runStep(DAEMONS, async (count) => {
+  await runInOrder(DAEMON_COUNTS, async (count) => {
     const links = Array.from({ length: count }, () => new LinkTable(ControlClient));
-    const beat = (
+    const sendHeartbeat = (
       link: LinkTable<ControlClient>,
       position: number,
     ) => link.find(leader.address).call<object, object>(
@@ -119,12 +119,12 @@
       new Operation({ timeoutMs: 400 }),
     ).catch(() => undefined);
     const timers = links.map((link, position) => (
-      setInterval(() => beat(link, position), HEARTBEAT_MS)));
+      setInterval(() => sendHeartbeat(link, position), HEARTBEAT_MS)));
     await pause(2_000);
-    const { cpu, seconds } = await measureCpu(leader, () => pause(MEASURE_MS));
+    const { cpuSeconds: cpuSeconds, elapsedSeconds: elapsedSeconds } = await measureCpu(leader, () => pause(MEASUREMENT_MS));
     timers.forEach((timer) => clearInterval(timer));
     links.forEach((link) => link.close());
-    points.push([count, (cpu / seconds) * 100]);
+    points.push([count, (cpuSeconds / elapsedSeconds) * 100]);
     await pause(3_000);
   });
   printFit('leader, % of a core by daemons that send 2 heartbeats/s each with the whole view and manifest', '%', points);
@@ -149,16 +149,16 @@
   const holders = (await site.readControl()).holders ?? { number: 1, current: [], previous: [] };
   const client = new ClaimClient('bench', links, () => holders);
   const points: [number, number][] = [];
-  await runStep([200, 800, 1_600], async (count) => {
-    const positions = Array.from({ length: count }, (unused, position) => position);
-    const { cpu } = await measureCpu(holder, () => Promise.all(positions.map(async (position) => {
+  await runInOrder([200, 800, 1_600], async (count) => {
+    const claimNumbers = Array.from({ length: count }, (unused, position) => position);
+    const { cpuSeconds: cpuSeconds } = await measureCpu(holder, () => Promise.all(claimNumbers.map(async (position) => {
       await pause(position / 2);
       const operation = new Operation({ timeoutMs: 5_000 });
       const ticket = await client.prepare(`a\n${count}-${position}`, operation);
       await client.accept(ticket, DISPATCHED, operation);
       await client.accept(ticket, FINISHED, operation);
     })));
-    points.push([count * 3, cpu * 1_000]);
+    points.push([count * 3, cpuSeconds * 1_000]);
   });
   printFit('holder, milliseconds of processor time by synced votes', 'ms', points);
   const memory = await readMemoryMib(holder);
@@ -166,7 +166,7 @@
   links.close();
 };
 
-const ask = async (entry: SiteProcess, tokens: number, agent: Agent): Promise<void> => {
+const sendRequest = async (entry: SiteProcess, tokens: number, agent: Agent): Promise<void> => {
   const response = await request(`http://${entry.address}/v1/completions`, {
     method: 'POST',
     dispatcher: agent,
@@ -178,35 +178,35 @@
   await response.body.dump({ limit: 1e9 });
 };
 
-const askMany = (
+const sendRequests = (
   entry: SiteProcess,
   count: number,
   tokens: number,
   agent: Agent,
-): Promise<unknown> => Promise.all(Array.from({ length: count }, () => ask(entry, tokens, agent)));
+): Promise<unknown> => Promise.all(Array.from({ length: count }, () => sendRequest(entry, tokens, agent)));
 
 /** Tokens and streams at one entry. */
 const measureStreams = async (site: TestSite, address: string): Promise<void> => {
   const [entry] = site.entries as [SiteProcess];
   const agent = new Agent({ connections: 2_000 });
-  await Promise.all(Array.from({ length: 32 }, () => ask(entry, 50, agent)));
+  await Promise.all(Array.from({ length: 32 }, () => sendRequest(entry, 50, agent)));
   const tokens: [number, number][] = [];
-  await runStep([50, 200, 400], async (count) => {
-    const { cpu } = await measureCpu(entry, () => askMany(entry, 32, count, agent));
-    tokens.push([count * 32, cpu * 1_000]);
+  await runInOrder([50, 200, 400], async (count) => {
+    const { cpuSeconds: cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, 32, count, agent));
+    tokens.push([count * 32, cpuSeconds * 1_000]);
   });
   printFit('entry, milliseconds of processor time by relayed tokens (32 streams)', 'ms', tokens);
   const requests: [number, number][] = [];
-  await runStep([100, 300, 600], async (count) => {
-    const { cpu } = await measureCpu(entry, () => askMany(entry, count, 1, agent));
-    requests.push([count, cpu * 1_000]);
+  await runInOrder([100, 300, 600], async (count) => {
+    const { cpuSeconds: cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, count, 1, agent));
+    requests.push([count, cpuSeconds * 1_000]);
   });
   printFit('entry, milliseconds of processor time by requests of one token without a key', 'ms', requests);
   const memory: [number, number][] = [];
-  await runStep([1, 150, 300, 450], async (count) => {
+  await runInOrder([1, 150, 300, 450], async (count) => {
     // A stalled engine keeps all streams open at once.
     await setFault(address, 'stall');
-    const running = askMany(entry, count, 2, agent);
+    const running = sendRequests(entry, count, 2, agent);
     await waitUntil('all are open', async () => (await site.readStatus(entry)).open >= count);
     memory.push([count, await readMemoryMib(entry)]);
     await setFault(address, 'none');
@@ -216,7 +216,7 @@
 };
 
 /** The same with an engine that ends with the measurement, whatever comes of it. */
-const measureRelay = async (site: TestSite): Promise<void> => {
+const measureStreamsWithEngine = async (site: TestSite): Promise<void> => {
   const { child, address } = await startEngine(site, { decodeMs: 2, slots: 2_000 });
   try {
     await measureStreams(site, address);
@@ -226,10 +226,10 @@
 };
 
 /** Memory of an owner by workers, and of an entry by accounts. */
-const measureTables = async (site: TestSite): Promise<void> => {
+const measureTableMemory = async (site: TestSite): Promise<void> => {
   const [entry] = site.entries as [SiteProcess];
   const accounts: [number, number][] = [];
-  await runStep([100, 4_000, 13_000], async (count) => {
+  await runInOrder([100, 4_000, 13_000], async (count) => {
     const manifest = makeManifest(100 + count, {
       accounts: Object.fromEntries(Array.from({ length: count }, (unused, position) => [`a${position}`, {
         keyHashes: [hashKey(`k${position}`)], tiers: ['door'], concurrency: 10,
@@ -257,46 +257,46 @@
         id: `w${position}`, hardware: 'h', models: ['m'], slots: 8, state: 'ready',
       }),
     }, 1));
-    const spent = process.cpuUsage(startedAt);
+    const cpuUsage = process.cpuUsage(startedAt);
     global.gc?.();
     workers.push([count, (process.memoryUsage().heapUsed - before) / 1_024]);
-    console.log(`owner, ${count} announcements: ${((spent.user + spent.system) / count).toFixed(1)} us each; workers kept: ${tables.workers.size}`);
+    console.log(`owner, ${count} announcements: ${((cpuUsage.user + cpuUsage.system) / count).toFixed(1)} us each; workers kept: ${tables.workers.size}`);
   });
   printFit('owner, KiB of heap by workers', 'KiB', workers);
 };
 
 /** From accepted to in force on all of eight entries. */
-const measureChange = async (site: TestSite): Promise<void> => {
+const measureManifestChange = async (site: TestSite): Promise<void> => {
   const times: number[] = [];
-  await runStep(Array.from({ length: 10 }, (unused, position) => position + 2), async (version) => {
+  await runInOrder(Array.from({ length: 10 }, (unused, position) => position + 2), async (version) => {
     await site.submit(makeManifest(version));
     const acceptedAt = performance.now();
     await site.waitForVersion(version);
     times.push(performance.now() - acceptedAt);
   });
   console.log(`8 entries, accepted to in force everywhere: max ${Math.max(...times).toFixed(0)} ms of ${times.length} changes (heartbeats every 200 ms)`);
-  const frozen = site.entries[0] as SiteProcess;
-  site.freeze(frozen, true);
+  const frozenEntry = site.entries[0] as SiteProcess;
+  site.freeze(frozenEntry, true);
   await site.submit(makeManifest(50));
   const acceptedAt = performance.now();
   await site.waitForVersion(50, site.entries.slice(1));
   console.log(`one entry frozen: in force on the other 7 after ${(performance.now() - acceptedAt).toFixed(0)} ms`);
-  site.freeze(frozen, false);
+  site.freeze(frozenEntry, false);
   const { id } = await site.readControl();
   const killedAt = performance.now();
   await site.kill(site.controls.find((control) => control.id === id) as SiteProcess);
   await site.submit(makeManifest(51));
   await site.waitForVersion(51);
   console.log(`leader killed just before the submit: in force everywhere ${(performance.now() - killedAt).toFixed(0)} ms after the kill`);
-  const behind = site.controls.find(({ child }) => (
+  const laggingReplica = site.controls.find(({ child }) => (
     child.exitCode === null && child.signalCode === null)) as SiteProcess;
   const versions = Array.from({ length: 1_000 }, (unused, position) => position + 100);
-  await runStep(versions, async (version) => {
+  await runInOrder(versions, async (version) => {
     await site.submit(makeManifest(version));
   });
-  await site.kill(behind);
+  await site.kill(laggingReplica);
   const restartedAt = performance.now();
-  site.restart(behind);
+  site.restart(laggingReplica);
   await site.submit(makeManifest(2_000));
   await site.waitForVersion(2_000);
   console.log(`a replica restarted with 1,000 changes piled up: site decides and all serve ${(performance.now() - restartedAt).toFixed(0)} ms after`);
@@ -304,13 +304,13 @@
 
 /** Runs with a site that ends with the measurement, whatever comes of it. */
 const runWithSite = async (
-  controls: number,
-  entries: number,
+  controlCount: number,
+  entryCount: number,
   run: (site: TestSite) => Promise<void>,
 ): Promise<void> => {
   const site = new TestSite();
   try {
-    await site.start(controls, entries);
+    await site.start(controlCount, entryCount);
     await run(site);
   } finally {
     await site.stop();
@@ -321,24 +321,24 @@
   const [control, entry] = [site.controls[0] as SiteProcess, site.entries[0] as SiteProcess];
   const sizes = await Promise.all([control, entry].map(readMemoryMib));
   console.log(`idle, MiB of control and entry: ${sizes.map((size) => size.toFixed(1)).join(', ')}`);
-  const idle = await measureCpu(entry, () => pause(MEASURE_MS));
-  console.log(`entry without requests: ${((idle.cpu / idle.seconds) * 100).toFixed(2)} % of a core`);
+  const idle = await measureCpu(entry, () => pause(MEASUREMENT_MS));
+  console.log(`entry without requests: ${((idle.cpuSeconds / idle.elapsedSeconds) * 100).toFixed(2)} % of a core`);
 };
 
-const runSlopes = async (): Promise<void> => {
+const measureSlopes = async (): Promise<void> => {
   await runWithSite(1, 2, async (site) => {
     if (!process.argv.includes('--control')) {
       await measureIdle(site);
-      await measureRelay(site);
+      await measureStreamsWithEngine(site);
       await measureClaims(site);
     }
-    await measureTables(site);
+    await measureTableMemory(site);
   });
   await runWithSite(1, 0, measureHeartbeats);
-  await runWithSite(3, 8, measureChange);
+  await runWithSite(3, 8, measureManifestChange);
 };
 
-runSlopes().then(() => process.exit(0)).catch((error: unknown) => {
+measureSlopes().then(() => process.exit(0)).catch((error: unknown) => {
   console.error(error);
   process.exit(1);
 });
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -30,14 +30,14 @@
 }
 
 const OPERATOR_KEY = 'demo-operator';
-const CALLER_KEY = 'demo-kiosk';
+const CLIENT_KEY = 'demo-kiosk';
 const STOP_TIMEOUT_MS = 4_000;
 
-const keep = process.argv.includes('--keep');
+const keepsRunning = process.argv.includes('--keep');
 const folder = mkdtempSync(join(tmpdir(), 'beechlift-'));
 const children: ChildProcess[] = [];
 
-const run = (args: readonly string[]): ChildProcess => {
+const spawnProcess = (args: readonly string[]): ChildProcess => {
   const child = spawn(process.execPath, [...args], { stdio: ['ignore', 'pipe', 'pipe'] });
   child.stderr?.resume();
   child.stdout?.on('data', (data: Buffer) => {
@@ -47,14 +47,14 @@
   return child;
 };
 
-const waitForEnd = (child: ChildProcess): Promise<void> => new Promise((resolve) => {
+const waitForExit = (child: ChildProcess): Promise<void> => new Promise((resolve) => {
   if (child.exitCode !== null || child.signalCode !== null) resolve();
   else child.once('exit', () => resolve());
 });
 
 const stopAll = async (): Promise<void> => {
   children.forEach((child) => child.kill('SIGKILL'));
-  await Promise.race([Promise.all(children.map(waitForEnd)), pause(STOP_TIMEOUT_MS)]);
+  await Promise.race([Promise.all(children.map(waitForExit)), pause(STOP_TIMEOUT_MS)]);
   rmSync(folder, { recursive: true, force: true });
 };
 
@@ -74,13 +74,13 @@
     history: { rank: 1, firstTokenMs: 5_000, totalMs: 60_000 },
   },
   accounts: {
-    kiosks: { keyHashes: [hashKey(CALLER_KEY)], tiers: ['door', 'history'], concurrency: 64 },
+    kiosks: { keyHashes: [hashKey(CLIENT_KEY)], tiers: ['door', 'history'], concurrency: 64 },
   },
   models: { guide: {} },
   pools: { engines: { kind: 'model', models: ['guide'] } },
 });
 
-const callCli = (args: readonly string[]): Promise<void> => new Promise((resolve, reject) => {
+const runCli = (args: readonly string[]): Promise<void> => new Promise((resolve, reject) => {
   const child = spawn(process.execPath, ['dist/beechlift.cjs', ...args], { stdio: 'inherit' });
   children.push(child);
   child.once('exit', (code) => {
@@ -89,7 +89,7 @@
   });
 });
 
-const askStreaming = async (
+const requestStream = async (
   entry: string,
   tier: string,
   prompt: string,
@@ -98,7 +98,7 @@
   const response = await request(`http://${entry}/v1/chat/completions`, {
     method: 'POST',
     headers: {
-      authorization: `Bearer ${CALLER_KEY}`,
+      authorization: `Bearer ${CLIENT_KEY}`,
       'content-type': 'application/json',
       'beechlift-tier': tier,
       'idempotency-key': `demo-${tier}`,
@@ -142,16 +142,16 @@
   tokens: number,
 ): Promise<void> => {
   const startedAt = performance.now();
-  const answer = await askStreaming(entry, tier, prompt, tokens);
+  const answer = await requestStream(entry, tier, prompt, tokens);
   const words = answer.trim().split(' ');
   console.log(`\n${title} (tier ${tier}), ${words.length} tokens in ${(performance.now() - startedAt).toFixed(0)} ms:`);
   console.log(`  ${words.slice(0, 6).join(' ')}${words.length > 6 ? ' …' : ''}`);
-  const findRoot = () => readSpans().find(
+  const findRootSpan = () => readSpans().find(
     (span) => span.hop === 'caller' && span.attributes.tier === tier,
   );
-  await waitUntil('the trace', async () => findRoot() !== undefined);
-  const root = findRoot();
-  const spans = readSpans().filter(({ traceId }) => traceId === root?.traceId);
+  await waitUntil('the trace', async () => findRootSpan() !== undefined);
+  const rootSpan = findRootSpan();
+  const spans = readSpans().filter(({ traceId }) => traceId === rootSpan?.traceId);
   console.log(formatTrace(spans, '', 0).join('\n'));
 };
 
@@ -159,7 +159,7 @@
   const [control, admin, caller1, caller2, peer1, peer2] = await Promise.all(
     Array.from({ length: 6 }, findFreeAddress),
   ) as [string, string, string, string, string, string];
-  run(['dist/beechlift.cjs', 'control', writeJson('control.json', {
+  spawnProcess(['dist/beechlift.cjs', 'control', writeJson('control.json', {
     id: 'c1', zone: 'az-1', address: control, adminAddress: admin, replicas: [{ id: 'c1', address: control, zone: 'az-1' }], dataFolder: join(folder, 'data'), firstOperatorKeyHash: hashKey(OPERATOR_KEY),
   })]);
   const entries = [
@@ -170,7 +170,7 @@
       id: 'e2', zone: 'az-2', callerAddress: caller2, peerAddress: peer2,
     },
   ];
-  entries.forEach((entry) => run(['dist/beechlift.cjs', 'entry', writeJson(`${entry.id}.json`, {
+  entries.forEach((entry) => spawnProcess(['dist/beechlift.cjs', 'entry', writeJson(`${entry.id}.json`, {
     ...entry,
     control: [
       { id: 'c1', address: control, zone: 'az-1' },
@@ -180,16 +180,16 @@
   const engine = {
     pool: 'engines', models: ['guide'], entries: [caller1, caller2], announceMs: 500, loadLagMs: 1_000, recordFile: '', cacheSize: 64,
   };
-  run(['dist/engine.cjs', JSON.stringify({
+  spawnProcess(['dist/engine.cjs', JSON.stringify({
     ...engine, id: 'fast-1', hardware: 'fast', prefillMs: 0.05, decodeMs: 5, slots: 8,
   })]);
-  run(['dist/engine.cjs', JSON.stringify({
+  spawnProcess(['dist/engine.cjs', JSON.stringify({
     ...engine, id: 'slow-1', hardware: 'slow', prefillMs: 0.2, decodeMs: 20, slots: 4,
   })]);
   return { entries: [caller1, caller2], control };
 };
 
-const readWorkers = async (entry: string): Promise<number> => {
+const countWorkers = async (entry: string): Promise<number> => {
   const response = await request(`http://${entry}/v1/status`);
   const status = await response.body.json() as { owned: { workers: unknown[] }[] };
   return status.owned.flatMap(({ workers }) => workers).length;
@@ -197,9 +197,9 @@
 
 const runSite = async (): Promise<void> => {
   const { entries, control } = await startSite();
-  const [first] = entries as [string];
+  const [firstEntry] = entries as [string];
   console.log('submit');
-  await callCli(
+  await runCli(
     [
       'submit',
       writeJson('manifest.json', makeManifest()),
@@ -210,15 +210,15 @@
     ],
   );
   await waitUntil('the engines', async () => {
-    const counts = await Promise.all(entries.map(readWorkers));
+    const counts = await Promise.all(entries.map(countWorkers));
     return counts.reduce((sum, count) => sum + count, 0) === 2;
   });
   console.log('\nlocate');
-  await callCli(['locate', '--entry', first, '--key', CALLER_KEY, '--zone', 'az-1']);
-  await printAnswer('A kiosk question', first, 'door', 'Which room is booking 4711 in, and what is its door code?', 24);
-  await printAnswer('A bale history', first, 'history', 'Gin 12, bale 90417: weighed, graded, moved. '.repeat(120), 120);
-  if (!keep) return;
-  console.log(`\nstill running; try\ncurl -N http://${first}/v1/chat/completions -H 'authorization: Bearer ${CALLER_KEY}' -H 'content-type: application/json' -d '{"model":"guide","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Where is breakfast?"}]}'`);
+  await runCli(['locate', '--entry', firstEntry, '--key', CLIENT_KEY, '--zone', 'az-1']);
+  await printAnswer('A kiosk question', firstEntry, 'door', 'Which room is booking 4711 in, and what is its door code?', 24);
+  await printAnswer('A bale history', firstEntry, 'history', 'Gin 12, bale 90417: weighed, graded, moved. '.repeat(120), 120);
+  if (!keepsRunning) return;
+  console.log(`\nstill running; try\ncurl -N http://${firstEntry}/v1/chat/completions -H 'authorization: Bearer ${CLIENT_KEY}' -H 'content-type: application/json' -d '{"model":"guide","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Where is breakfast?"}]}'`);
   await new Promise(() => {
     setInterval(() => undefined, 60_000);
   });
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -2,18 +2,18 @@
 import { defineConfig } from 'vitest/config';
 
 /** Titles that KNOWN-RED.txt lists, in quotes at the start of a line: CI alone passes over them. */
-const listKnownRed = (): string[] => {
+const listKnownFailures = (): string[] => {
   if (!process.env.CI || !existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
   return lines.flatMap((line) => /^"([^"]+)"/.exec(line)?.[1] ?? []);
 };
 
-const knownRed = listKnownRed();
+const knownFailures = listKnownFailures();
 
 export default defineConfig({
   test: {
     include: ['tests/**/*.spec.ts'],
-    ...(knownRed.length > 0 ? { testNamePattern: new RegExp(`^(?!.*(?:${knownRed.join('|')})$)`) } : {}),
+    ...(knownFailures.length > 0 ? { testNamePattern: new RegExp(`^(?!.*(?:${knownFailures.join('|')})$)`) } : {}),
     // A long search ends by its own budget of time, which is no failure.
     testTimeout: 60_000 + 2_000 * Number(process.env.BEECHLIFT_FUZZ_SECONDS ?? 0),
     hookTimeout: 60_000,
