--- a/src/errors/beechliftError.ts
+++ b/src/errors/beechliftError.ts
@@ -1,18 +1,18 @@
 import { findCodeName, resultCodes } from './resultCodes';
 import type { ResultCode, RunState } from './resultCodes';
 
-/** What may go along with an error. */
+/** Optional details of an error. */
 export interface ErrorDetail {
-  /** When to come back, in milliseconds from now. */
+  /** Time after which the caller may retry, in milliseconds. */
   readonly retryAfterMs?: number;
-  /** Steps that led here, oldest first. */
+  /** Steps that led to the error, oldest first. */
   readonly steps?: readonly string[];
-  /** Overrides the run state of the code where more is known. */
+  /** Overrides the run state of the code if more is known. */
   readonly run?: RunState;
   readonly cause?: unknown;
 }
 
-/** The form in which an error is shown to callers and operators. */
+/** JSON body of an error response to callers and operators. */
 export interface ErrorBody {
   readonly error: {
     readonly code: number;
@@ -48,7 +48,7 @@
     return resultCodes[this.code].number;
   }
 
-  /** HTTP status that carries the code. */
+  /** HTTP status of the response. */
   get status(): number {
     return resultCodes[this.code].status;
   }
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Builds the JSON body that callers and operators read.
+   * Builds the JSON body of the response.
    *
    * @example
    * reply.code(error.status).send(error.buildBody());
@@ -81,7 +81,7 @@
 }
 
 /**
- * Turns a result number from the wire into an error.
+ * Makes an error from a received result number; an unknown number becomes `internalFailure`.
  *
  * @example
  * throw makeErrorFromNumber(reply.code, reply.message);
@@ -93,7 +93,7 @@
 ): BeechliftError => new BeechliftError(findCodeName(number) ?? 'internalFailure', message, detail);
 
 /**
- * Makes sure that whatever was thrown is an error with a code.
+ * Converts a thrown value to an error with a code; other errors become `internalFailure`.
  *
  * @example
  * try { run(); } catch (thrown) { reply.send(toBeechliftError(thrown).buildBody()); }
--- a/src/errors/codesPage.ts
+++ b/src/errors/codesPage.ts
@@ -3,15 +3,15 @@
 const HEADING = `# Result codes
 
 Written by \`npm run docs:codes\` from \`src/errors/resultCodes.ts\`. \`beechlift explain CODE\` prints one row.
-**Run** tells whether the request did any work: \`notRun\` is said only when it is proven, \`unknown\` when nobody can
-know. The number of a code never changes its meaning.
+**Run** states whether the request did any work: \`notRun\` only if this is proven, \`unknown\` if it cannot be
+determined. The number of a code never changes its meaning.
 
 | Number | Name | HTTP | Run | What to do |
 |---|---|---|---|---|
 `;
 
 /**
- * Writes the table of result codes as a page.
+ * Formats the table of result codes as a Markdown page.
  *
  * @example
  * writeFileSync('docs/CODES.md', formatCodesPage());
--- a/src/manifest/checkManifest.ts
+++ b/src/manifest/checkManifest.ts
@@ -3,7 +3,7 @@
 import type { Manifest } from './manifest';
 import type { ManifestFault } from './manifestFault';
 
-/** What comes of checking a text: the manifest, or every fault found in it. */
+/** Result of checking a text: the manifest, or every fault that was found. */
 export type CheckedManifest = | { readonly manifest: Manifest; readonly faults: readonly [] }
   | { readonly manifest: undefined; readonly faults: readonly ManifestFault[] };
 
@@ -48,7 +48,7 @@
   ): ManifestFault[] => names
     .filter((name) => !offered.has(name))
     .map((name) => ({
-      code: 'uncarriedModel', path: `/${section}/${name}`, message: 'no pool with role "worker" carries it',
+      code: 'uncarriedModel', path: `/${section}/${name}`, message: 'no pool with role "worker" serves it',
     }));
   return [
     ...findUnserved(Object.keys(models), offeredModels, 'models'),
@@ -60,7 +60,7 @@
   const total = Object.values(tiers).reduce((sum, { headroom }) => sum + headroom, 0);
   if (total <= MAX_TOTAL_HEADROOM) return [];
   return [{
-    code: 'headroomAboveCapacity', path: '/tiers', message: `headroom adds up to ${total.toFixed(2)}, at most ${MAX_TOTAL_HEADROOM} is allowed`,
+    code: 'headroomAboveCapacity', path: '/tiers', message: `headroom of all tiers is ${total.toFixed(2)}, expected at most ${MAX_TOTAL_HEADROOM}`,
   }];
 };
 
@@ -70,7 +70,7 @@
     const other = seen.get(rank);
     seen.set(rank, name);
     if (other === undefined) return [];
-    return [{ code: 'duplicateRank', path: `/tiers/${name}/rank`, message: `rank ${rank} is also that of "${other}"` }];
+    return [{ code: 'duplicateRank', path: `/tiers/${name}/rank`, message: `rank ${rank} is already used by tier "${other}"` }];
   });
 };
 
@@ -81,7 +81,7 @@
       const other = seen.get(keyHash);
       seen.set(keyHash, name);
       if (other === undefined) return [];
-      return [{ code: 'duplicateKey', path: `/accounts/${name}/keyHashes`, message: `the same key belongs to "${other}"` }];
+      return [{ code: 'duplicateKey', path: `/accounts/${name}/keyHashes`, message: `account "${other}" has the same key` }];
     }));
 };
 
@@ -94,15 +94,15 @@
   ));
 
 /*
- * Guards against a queue that is full of the top tier while a lower tier still runs: the owner
- * could then neither shed nor wait. As accounts hold no more requests than their concurrency, a sum
- * within the bound keeps the queue from ever filling.
+ * Prevents a queue that is full of requests of the top tier while requests of a lower tier still
+ * run: the owner could then neither shed nor queue. No account has more open requests than its
+ * concurrency, so the queue never fills if the sum is within the bound.
  */
 const checkQueueBound: Rule = ({ accounts, limits }) => {
   const total = Object.values(accounts).reduce((sum, { concurrency }) => sum + concurrency, 0);
   if (total <= limits.queuePerPool) return [];
   return [{
-    code: 'limitsAboveBound', path: '/limits/queuePerPool', message: `concurrency adds up to ${total}, above the bound of ${limits.queuePerPool}`,
+    code: 'limitsAboveBound', path: '/limits/queuePerPool', message: `concurrency of all accounts is ${total}, expected at most ${limits.queuePerPool}`,
   }];
 };
 
@@ -119,12 +119,14 @@
 
 const validateDocument = buildValidator(manifestSchema);
 
-const rejectManifest = (faults: ManifestFault[]): CheckedManifest => ({ manifest: undefined, faults });
+const rejectManifest = (faults: ManifestFault[]): CheckedManifest => ({
+  manifest: undefined, faults,
+});
 
 /**
- * Parses and checks a manifest, with every fault in one answer.
+ * Parses and checks a manifest, and returns all faults at once.
  *
- * @param previous the manifest in force, for rules on what a change removes
+ * @param previous the current manifest, to detect removed tiers that are still in use
  * @example
  * const { manifest, faults } = checkManifest(text);
  */
--- a/src/manifest/checkRouting.ts
+++ b/src/manifest/checkRouting.ts
@@ -15,7 +15,7 @@
   const known = new Set(services.map(({ name }) => name));
   return routes.flatMap(({ name, targets }) => targets
     .filter(({ service }) => !known.has(service))
-    .map(({ service }) => `route "${name}" names service "${service}", which is not defined`));
+    .map(({ service }) => `route "${name}" refers to service "${service}", which is not defined`));
 };
 
 const formatHostAndPrefix = ({ host, pathPrefix }: Route): string => `${host}${pathPrefix}`;
@@ -49,7 +49,7 @@
 ];
 
 /**
- * Lists every fault of a routing that its form does not show.
+ * Lists the faults of a routing that a schema cannot detect, such as undefined names.
  *
  * @example
  * const faults = checkRouting(routing);
--- a/src/manifest/manifest.ts
+++ b/src/manifest/manifest.ts
@@ -1,91 +1,91 @@
-/** The one document by which operators drive beechlift; manifestSchema.ts checks its form. */
+/** The manifest: the only document by which operators configure a site. See manifestSchema.ts. */
 
-/** A class of callers, by rank: rank 0 is served first. */
+/** A service class of requests. Rank 0 is served first. */
 export interface Tier {
   readonly rank: number;
-  /** Time to the first token after which an answer is late, in milliseconds. */
+  /** Target time to the first token, in milliseconds. */
   readonly firstTokenMs: number;
-  /** Time to the whole answer after which it is late, in milliseconds. */
+  /** Target time to the complete answer, in milliseconds. */
   readonly totalMs: number;
-  /** Share of every pool's slots that only this tier and higher ones may use, 0 to 0.9. */
+  /** Fraction of the slots of every pool reserved for this tier and higher ones, 0 to 0.9. */
   readonly headroom: number;
 }
 
-/** Who may call, and how much. */
+/** A client account: its keys, tiers and limits. */
 export interface ClientAccount {
   /** SHA-256 of each API key, in hex. */
   readonly keyHashes: readonly string[];
   readonly tiers: readonly string[];
-  /** Requests at a time, over all entry VMs together. */
+  /** Maximum number of concurrent requests, over all entry VMs together. */
   readonly concurrency: number;
-  /** Prompt and output tokens a minute, over all entry VMs together; 0 sets no limit. */
+  /** Prompt and output tokens per minute, over all entry VMs together; 0 sets no limit. */
   readonly tokensPerMinute: number;
-  /** Share against other accounts of the same tier. */
+  /** Weight relative to other accounts of the same tier. */
   readonly weight: number;
 }
 
-/** A model that pools may carry. */
+/** A model that pools may serve. */
 export interface Model {
   readonly contextTokens: number;
   readonly adapters: readonly string[];
   readonly modelVersion: string;
 }
 
-/** A plain service beside the model engines. */
+/** A service that is not a model engine. */
 export interface Service {
   readonly timeoutMs: number;
-  /** HTTP methods whose calls may be repeated. */
+  /** HTTP methods whose requests may be repeated. */
   readonly repeatable: readonly string[];
 }
 
-/** Which kind of backend server a pool holds. */
+/** Kind of the backend servers in a pool. */
 export type PoolKind = 'model' | 'service';
 
-/** Backend servers that stand in for one another. */
+/** A pool of interchangeable backend servers. */
 export interface Pool {
   readonly kind: PoolKind;
   readonly role: 'worker' | 'standby';
   readonly models: readonly string[];
   readonly services: readonly string[];
-  /** SHA-256 of the secret that backend servers announce with; empty: not checked. */
+  /** SHA-256 of the secret in the announcements of backend servers; empty if not checked. */
   readonly secretHash: string;
-  /** Whether its engines refuse orders under an old fencing number. */
+  /** Whether its engines refuse orders with an outdated fencing number. */
   readonly checksFencing: boolean;
 }
 
-/** How much of some traffic this system takes while an older scheduler takes the rest. */
+/** Splits the traffic of an account or a tier between this system and an older scheduler. */
 export interface Migration {
-  /** Whether `name` of the section is an account or a tier is told by this field. */
+  /** Whether the name of the item is that of an account or of a tier. */
   readonly of: 'account' | 'tier';
-  /** 0 sends all to the older scheduler, 1 sends none. */
+  /** Fraction of the traffic that this system takes: 0 for none, 1 for all. */
   readonly share: number;
   readonly olderAddresses: readonly string[];
 }
 
-/** An operator or a pipeline that may submit. */
+/** An operator or a pipeline that may submit manifests. */
 export interface Operator {
   readonly keyHash: string;
 }
 
-/** Bounds on everything that grows. */
+/** Limits on sizes, counts, rates and retention times. */
 export interface Limits {
   readonly bodyBytes: number;
-  /** Answers up to this size are kept for a resend. */
+  /** Maximum size of an answer that is kept for resends. */
   readonly answerBytes: number;
   readonly queuePerPool: number;
   readonly workersPerPool: number;
-  /** Orders to load that the weight store bears, over all pools together. */
+  /** Model loads per minute that the weight store can sustain, over all pools together. */
   readonly loadsPerMinute: number;
-  /** How long a claim is kept after its last change, in milliseconds. */
+  /** Retention time of a claim after its last change, in milliseconds. */
   readonly claimRetentionMs: number;
-  /** How long callers keep a locate answer, in milliseconds. */
+  /** How long callers may cache the addresses of entries, in milliseconds. */
   readonly locateMs: number;
 }
 
-/** The whole document. */
+/** The complete manifest. */
 export interface Manifest {
   readonly version: number;
-  /** Digest of the manifest that this one replaces; when given it must match. */
+  /** Digest of the manifest that this one replaces; if present, it must match the current one. */
   readonly basedOn?: string;
   readonly operators: Readonly<Record<string, Operator>>;
   readonly tiers: Readonly<Record<string, Tier>>;
--- a/src/manifest/manifestDelta.ts
+++ b/src/manifest/manifestDelta.ts
@@ -5,9 +5,9 @@
 export interface SectionChange {
   /** Top-level field of the manifest. */
   readonly section: string;
-  /** Item of the section; empty where the field is no section. */
+  /** Name of the item in the section; empty if the field is not a section. */
   readonly name: string;
-  /** New value as JSON; empty when the item is gone. */
+  /** New value as JSON; empty if the item was removed. */
   readonly value: string;
 }
 
@@ -27,7 +27,7 @@
 };
 
 /**
- * Lists what changed between two manifests, item by item.
+ * Lists the items that differ between two manifests.
  *
  * @example
  * const changes = diffManifests(older, newer);
@@ -47,7 +47,7 @@
 
 type Draft = Record<string, unknown>;
 
-/** Copies a section before its first change, so that the base stays as it is. */
+/** Copies a section before its first change, so that the base is not modified. */
 const copySection = (draft: Draft, base: Section, section: string): Draft => {
   if (draft[section] === base[section]) draft[section] = { ...(base[section] as Section) };
   return draft[section] as Draft;
@@ -62,8 +62,8 @@
 };
 
 /**
- * Applies changes to a manifest; the result must be compared by digest with what was meant. Each
- * section is copied once, however many of its items change.
+ * Applies changes to a copy of a manifest. The caller must compare the digest of the result with
+ * the expected one. Each section is copied at most once.
  *
  * @example
  * const newer = applyChanges(older, changes);
@@ -76,7 +76,7 @@
 };
 
 /**
- * Computes the digest under which a manifest is known: SHA-256 of its canonical JSON.
+ * Computes the digest that identifies a manifest: SHA-256 of its canonical JSON.
  *
  * @example
  * computeDigest(manifest); // 64 hex digits
--- a/src/manifest/manifestFault.ts
+++ b/src/manifest/manifestFault.ts
@@ -1,7 +1,7 @@
 import { resultCodes } from '../errors/resultCodes';
 import type { ResultCode } from '../errors/resultCodes';
 
-/** One reason why a manifest is not accepted. */
+/** A reason why a manifest is rejected. */
 export interface ManifestFault {
   readonly code: ResultCode;
   /** JSON pointer into the manifest. */
@@ -10,7 +10,7 @@
 }
 
 /**
- * Writes a fault as one line for operators.
+ * Formats a fault as one line for operators.
  *
  * @example
  * formatFault({ code: 'danglingName', path: '/pools/fast', message: 'no model "x"' });
--- a/src/manifest/manifestSchema.ts
+++ b/src/manifest/manifestSchema.ts
@@ -35,7 +35,7 @@
 const DAY_MS = 86_400_000;
 const MIB = 1_048_576;
 
-/** The schema, in the dialect that ajv reads. */
+/** The schema, for ajv. */
 export const manifestSchema = {
   type: 'object',
   required: ['version', 'operators', 'tiers', 'accounts', 'pools'],
--- a/src/manifest/routing.ts
+++ b/src/manifest/routing.ts
@@ -1,68 +1,68 @@
 /**
- * The document that drives a routed site: callers reach backend servers unchanged, through routes
- * that are chosen by host and path.
+ * The routing of a site that forwards the requests of callers to backend servers, through routes
+ * that match host and path.
  */
 
-/** What may be repeated of the requests of a route. */
+/** Whether the requests of a route may be repeated: yes, no, or as a resumed stream. */
 export type RouteKind = 'idempotent' | 'nonIdempotent' | 'stream';
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of the requests of a route. */
 export interface RouteTarget {
   readonly service: string;
-  /** Share against the other targets of the route. */
+  /** Weight relative to the other targets of the route. */
   readonly weight: number;
 }
 
-/** Which requests go where, and what they may take. */
+/** Matches requests by host and path, and defines their targets and limits. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash; the longest one that begins a path wins. */
+  /** Begins and ends with a slash. The route with the longest matching prefix is used. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Most milliseconds that a caller is kept waiting for the whole answer. */
+  /** Time limit for the complete answer, in milliseconds. */
   readonly timeoutMs: number;
-  /** Milliseconds within which an answer, or the first event of a stream, is on time. */
+  /** Target time for the answer, or for the first event of a stream, in milliseconds. */
   readonly targetLatencyMs: number;
   /** Rank 0 is served first. */
   readonly rank: number;
   readonly targets: readonly RouteTarget[];
-  /** Most backend servers that may be given one request. */
+  /** Maximum number of backend servers to which one request may be sent. */
   readonly maxAttempts: number;
   /** Whether callers need no key. */
   readonly isPublic: boolean;
-  /** Whether a stream that broke off may go on from its last event at another backend server. */
+  /** Whether a broken stream may resume after its last event at another backend server. */
   readonly isResumable: boolean;
 }
 
-/** Backend servers that stand in for one another. */
+/** A service of interchangeable backend servers. */
 export interface RoutedService {
   readonly name: string;
-  /** Most connections that one backend server takes from all callers together. */
+  /** Maximum number of connections to one backend server, over all entries together. */
   readonly maxConnections: number;
   /** Whether its backend servers are model engines. */
   readonly isEngine: boolean;
 }
 
-/** What an account's limit counts. */
+/** Unit in which the limit of an account is counted. */
 export type LimitUnit = 'requests' | 'tokens';
 
-/** Who may call, and how much. */
+/** A client account: its keys, rank and limit. */
 export interface RoutedAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Takes precedence over the rank of the route. */
+  /** Overrides the rank of the route. */
   readonly rank: number | undefined;
   readonly unit: LimitUnit;
-  /** Units a second over all entries together; 0 sets no limit. */
+  /** Units per second, over all entries together; 0 sets no limit. */
   readonly perSecond: number;
-  /** Units that may be used at once beyond that. */
+  /** Units that may be used at once in addition to the rate. */
   readonly burst: number;
-  /** What a request counts for that does not tell its tokens. */
+  /** Tokens charged for a request without a token count. */
   readonly defaultTokens: number;
 }
 
-/** Bounds on what a caller may send, and how slowly. */
+/** Limits on the sizes and the timing of what callers send. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -70,7 +70,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** The whole document. */
+/** The complete routing. */
 export interface Routing {
   readonly version: number;
   readonly routes: readonly Route[];
@@ -79,9 +79,9 @@
   readonly limits: CallerLimits;
 }
 
-/** What comes of reading a document: the routing, or every fault found in it. */
+/** Result of decoding a document: the routing, or every fault that was found. */
 export type DecodedRouting = | { readonly routing: Routing; readonly faults: readonly [] }
   | { readonly routing: undefined; readonly faults: readonly string[] };
 
-/** Reads the text of a document into a routing; the form of the text is the site's own. */
+/** Decodes the text of a document into a routing; the format depends on the platform. */
 export type RoutingReader = (document: string) => DecodedRouting;
--- a/src/settings/loadSettings.ts
+++ b/src/settings/loadSettings.ts
@@ -6,7 +6,7 @@
 import type { ControlSettings, EntrySettings } from './settings';
 
 /**
- * Reads a text file.
+ * Reads a text file; throws `fileUnreadable`.
  *
  * @example
  * const text = readTextFile('examples/kiosks/manifest.json');
@@ -23,7 +23,7 @@
 const validateControl = buildValidator(controlSettingsSchema);
 
 /**
- * Parses the settings of an entry process; throws one error that lists every wrong field.
+ * Parses the settings of an entry process; throws one error that lists every invalid field.
  *
  * @example
  * const settings = parseEntrySettings(readTextFile('entry.jsonc'));
@@ -33,7 +33,7 @@
 );
 
 /**
- * Parses the settings of a control process; throws one error that lists every wrong field.
+ * Parses the settings of a control process; throws one error that lists every invalid field.
  *
  * @example
  * const settings = parseControlSettings(readTextFile('control.jsonc'));
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,6 +1,6 @@
-/** Settings of a process, read from JSON with comments. */
+/** Settings of the processes, written as JSON with comments. */
 
-/** Another process of the system. */
+/** A control replica. */
 export interface ReplicaSetting {
   readonly id: string;
   /** IP and port of its gRPC server. */
@@ -8,13 +8,13 @@
   readonly zone: string;
 }
 
-/** What `beechlift entry` reads. */
+/** Settings of `beechlift entry`. */
 export interface EntrySettings {
   readonly id: string;
   readonly zone: string;
-  /** Where callers and backend servers connect, IP and port. */
+  /** Address for callers and backend servers, IP and port. */
   readonly callerAddress: string;
-  /** Where other entry VMs connect, IP and port. */
+  /** Address for other entry VMs, IP and port. */
   readonly peerAddress: string;
   readonly control: readonly ReplicaSetting[];
   readonly heartbeatMs: number;
@@ -23,17 +23,17 @@
   readonly drainMs: number;
 }
 
-/** What `beechlift control` reads. */
+/** Settings of `beechlift control`. */
 export interface ControlSettings {
   readonly id: string;
   readonly zone: string;
-  /** Where entry VMs, other replicas and operators connect, IP and port. */
+  /** Address for entry VMs, other replicas and operators, IP and port. */
   readonly address: string;
-  /** Where `/metrics` and `/v1/status` are served, IP and port. */
+  /** Address of `/metrics` and `/v1/status`, IP and port. */
   readonly adminAddress: string;
-  /** The replicas a new site starts with; afterwards the log knows them. */
+  /** The replicas with which a new site starts; later the replicated log contains them. */
   readonly replicas: readonly ReplicaSetting[];
-  /** The only folder this process writes to. */
+  /** The only folder to which this process writes. */
   readonly dataFolder: string;
   /** SHA-256 of the key that may submit the first manifest. */
   readonly firstOperatorKeyHash: string;
@@ -43,5 +43,5 @@
   readonly logLevel: LogLevel;
 }
 
-/** How much a process logs. */
+/** Lowest level of the log lines that a process writes. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
--- a/src/settings/settingsFile.ts
+++ b/src/settings/settingsFile.ts
@@ -4,11 +4,11 @@
 import { BeechliftError } from '../errors/beechliftError';
 import type { SchemaFault } from '../utils/schemaFaults';
 
-/** Lists the faults of a document. */
+/** Lists the faults of a document; empty if it is valid. */
 export type Validator = (value: unknown) => readonly SchemaFault[];
 
 /**
- * Parses settings in JSON with comments; throws one error that lists every wrong field.
+ * Parses settings in JSON with comments; throws one error that lists every invalid field.
  *
  * @example
  * const settings = parseSettings(text, buildValidator(schema));
@@ -29,10 +29,10 @@
 };
 
 /**
- * Settings that may change while the process runs.
+ * Settings file that can be reloaded while the process runs.
  *
  * @example
- * const file = new SettingsFile('/etc/relay.jsonc', (text) => parseRelaySettings(text), noteFault);
+ * const file = new SettingsFile('/etc/relay.jsonc', parseRelaySettings, logError, logReload);
  * process.on('SIGHUP', () => file.reload());
  */
 export class SettingsFile<Settings> {
@@ -43,7 +43,7 @@
   constructor(
     private readonly path: string,
     private readonly parseText: (text: string) => Settings,
-    /** Hears of a change that cannot be used; the settings before stay in force. */
+    /** Receives the error of a failed reload; the previous settings remain in use. */
     private readonly handleError: (error: unknown) => void,
     private readonly handleReload: () => void,
   ) {
@@ -51,12 +51,12 @@
     this.current = parseText(this.text);
   }
 
-  /** Reads the file again, when it changed. */
+  /** Applies the content of the file if it has changed. */
   reload(): void {
     try {
       const text = this.read();
       if (text === this.text) return;
-      // A text that cannot be used is reported once, not at each look.
+      // Stored before parsing, so that an invalid text is reported once and not at each reload.
       this.text = text;
       this.current = this.parseText(text);
       this.handleReload();
