--- a/tests/platform/deploy.spec.ts
+++ b/tests/platform/deploy.spec.ts
@@ -8,7 +8,7 @@
   readonly count?: number;
 }
 
-/** VMs with a disk by availability zone, and how many of them a site must bear to lose at once. */
+/** VMs with a disk per availability zone, and how many of them may fail at once. */
 const DEPLOYMENTS = [
   { zones: [2, 2, 1], losses: 1 },
   { zones: [2, 1, 1, 1], losses: 1 },
@@ -21,9 +21,10 @@
 
 describe('the deploy file', () => {
   /*
-   * A site that must bear the loss of two VMs had one control replica in each of three zones: with
-   * two of them lost nobody leads, no change is accepted, and after some seconds no entry serves.
-   * A change that two of three have synced is gone with their disks. Five replicas bear both.
+   * Guards against too few control replicas. A site that must tolerate the loss of two VMs had one
+   * replica in each of three zones. After the loss of two of them there is no leader, no change is
+   * accepted, and entries stop serving after some seconds. A change that only these two have synced
+   * is lost with their disks. Five replicas tolerate both.
    */
   it.each(DEPLOYMENTS)('should start enough control replicas for $losses losses of $zones', ({ zones, losses }) => {
     const { roles } = parse(readFileSync('deploy/system.toml', 'utf8')) as unknown as { roles: Record<string, Role> };
--- a/tests/platform/loss-table.spec.ts
+++ b/tests/platform/loss-table.spec.ts
@@ -11,7 +11,7 @@
   { name: 'tag', worth: 1, late_worth: 0.5 },
 ];
 
-/** 100 reports and 200 tags are owed: 1,000 in worth, of which 150 are lost. */
+/** 100 reports and 200 tags count, worth 1,000 in total, of which 150 are lost. */
 const report: DayReport = {
   G: 0.75 * 0.85 + 0.25 * 0.4 - 0.03,
   parts: [['whole day', 0.75, 0.85], ['worst seconds', 0.25, 0.4]],
@@ -38,12 +38,12 @@
 describe('the table of losses', () => {
   const lines = listLosses(report, kinds);
 
-  it('should add up to all that is missing to 1', () => {
+  it('should list losses that add up to 1 minus the score', () => {
     const sum = lines.reduce((total, { loss }) => total + loss, 0);
     expect(sum).toBeCloseTo(1 - report.G, 9);
   });
 
-  it('should split the whole day by kind and reason, without what was not owed', () => {
+  it('should split the loss of the day by kind and reason, without requests that do not count', () => {
     const find = (part: string, reason: string) => lines
       .find((line) => line.part.endsWith(part) && line.reason === reason);
     expect(find('report', 'late')).toMatchObject({ requests: 10, loss: 0.75 * 0.04 });
@@ -51,13 +51,13 @@
     expect(find('tag', 'failed')).toMatchObject({ requests: 30, loss: 0.75 * 0.03 });
   });
 
-  it('should name the worst seconds that were owed, with what went on in them', () => {
+  it('should list the worst windows that count, with the faults active in them', () => {
     const seconds = lines.filter(({ part }) => part.includes('second '));
     expect(seconds.map(({ part }) => part.trim())).toEqual(['from second 2: 0.400', 'from second 0: 0.900']);
     expect(seconds[0]?.reason).toContain('many at once');
   });
 
-  it('should print one line for each loss, and none without', () => {
+  it('should print a line for each loss, and none for a loss of 0', () => {
     expect(lines.map(formatLoss).join('\n')).not.toContain('nothing');
     expect(formatLoss(lines[0] as never)).toMatch(/^ 0\.1500 {2}worst seconds/u);
   });
--- a/tests/platform/platform-decoding.spec.ts
+++ b/tests/platform/platform-decoding.spec.ts
@@ -39,7 +39,7 @@
     });
   });
 
-  it('should take fields that it does not know', () => {
+  it('should accept unknown fields', () => {
     const document = JSON.stringify(makeDocument({ novelty: { a: 1 } }));
     expect(readRoutingDocument(document).faults).toEqual([]);
   });
@@ -50,19 +50,19 @@
 
   it.each([
     ['an unknown service', { routes: [makeRoute({ service: 'nobody' })] }],
-    ['two routes at one place', { routes: [makeRoute({}), makeRoute({ name: 'q' })] }],
-    ['weights that add up to nothing', { routes: [makeRoute({ service: undefined, weighted_services: [{ service: 's', weight: 0 }] })] }],
-    ['no time to answer', { routes: [makeRoute({ timeout_ms: 0 })] }],
-    ['a key of two accounts', { tenants: [{ name: 'a', api_keys: ['k'] }, { name: 'b', api_keys: ['k'] }] }],
+    ['two routes with the same host and prefix', { routes: [makeRoute({}), makeRoute({ name: 'q' })] }],
+    ['weights that add up to 0', { routes: [makeRoute({ service: undefined, weighted_services: [{ service: 's', weight: 0 }] })] }],
+    ['a timeout of 0', { routes: [makeRoute({ timeout_ms: 0 })] }],
+    ['a key that two accounts share', { tenants: [{ name: 'a', api_keys: ['k'] }, { name: 'b', api_keys: ['k'] }] }],
     ['no version', { version: undefined }],
-    ['a kind that is none', { routes: [makeRoute({ route_kind: 'sometimes' })] }],
+    ['an unknown kind of route', { routes: [makeRoute({ route_kind: 'sometimes' })] }],
   ])('should be refused for %s', (name, changes) => {
     const { routing, faults } = readRoutingDocument(JSON.stringify(makeDocument(changes)));
     expect(routing).toBeUndefined();
     expect(faults.length).toBeGreaterThan(0);
   });
 
-  it('should be refused when it was cut short', () => {
+  it('should be refused if it is truncated', () => {
     const text = JSON.stringify(makeDocument());
     expect(readRoutingDocument(text.slice(0, -40)).routing).toBeUndefined();
   });
@@ -76,7 +76,7 @@
     'Kv-Fetch', 'forged', 'Expected-Instance', 'forged', 'X-Own', 'kept', 'Last-Event-Id', '3',
   ];
 
-  it('should tell id, patience, key and tokens', () => {
+  it('should be decoded into request id, maximum wait, key and tokens', () => {
     expect(platformDialect.readRequest(headers)).toEqual({
       requestId: '9c41', maxWaitMs: 15000, key: 'k1', tokens: { prompt: 1460, output: 80, expected: 80 },
     });
@@ -92,19 +92,19 @@
     [['Token-Count', '12'], {
       requestId: '', maxWaitMs: undefined, key: '', tokens: { prompt: 12, output: 0, expected: 0 },
     }],
-  ])('should make nothing of what cannot be read: %j', (raw, expected) => {
+  ])('should be ignored if their values are invalid: %j', (raw, expected) => {
     expect(platformDialect.readRequest(raw)).toEqual(expected);
   });
 
   it.each([
     ['30', 30], ['30.2', 31], ['500', 80], ['0', 80], ['-4', 80], ['long', 80], ['Infinity', 80], ['', 80],
-  ])('should expect an answer of the length that its caller says, within its most: %s', (hint, expected) => {
+  ])('should limit the length hint to the maximum length of the answer: %s', (hint, expected) => {
     const { tokens } = platformDialect.readRequest(['Token-Count', '1460,80', 'Length-Hint', hint]);
     expect(tokens).toEqual({ prompt: 1460, output: 80, expected });
   });
 
-  // A caller sends headers that are the system's to set, and would be admitted before all others.
-  it('should pass on what is the caller\'s, and set what is ours whatever the caller sent', () => {
+  // Guards against forged headers: a caller could gain precedence with headers the entry sets.
+  it('should be forwarded, except those that the entry sets itself', () => {
     const forwarded = platformDialect.buildRequestHeaders(headers, {
       workerId: 'i-7', account: { name: 'n' } as never, remainingMs: 14_200, lastEventId: '',
     });
@@ -117,7 +117,7 @@
     expect(text).toMatch(/Tenant\|n/);
   });
 
-  it('should name the last event that a caller has where a stream goes on', () => {
+  it('should contain the last event id of the caller if a stream is resumed', () => {
     const forwarded = platformDialect.buildRequestHeaders(headers, {
       workerId: 'i-7', account: undefined, remainingMs: 1, lastEventId: '12',
     });
@@ -127,7 +127,7 @@
   });
 });
 
-describe('what backend servers say on the platform', () => {
+describe('the calls of backend servers on the platform', () => {
   it('should be decoded into an announcement', () => {
     const announcement = decodeHeartbeat('i-7', Buffer.from(JSON.stringify({
       service: 's', address: '10.0.0.9:80', zone: 'a', version: 'v1', slots: 7, state: 'draining', cold_remaining_ms: 12.6, sequence: 4, phase: 'aggregated', born: 1_764_722_000_123,
@@ -140,8 +140,8 @@
   });
 
   /*
-   * Another writer announces servers too: what it sends reads like an announcement, but a count is
-   * no whole number, a field is missing or of another type, or the address leads nowhere.
+   * Guards against invalid announcements of other software: a number is not an integer, a field is
+   * missing or has another type, or the address is invalid.
    */
   it.each([
     { born: 1.5 }, { born: '1764722000123' }, { born: -1 }, { born: null }, { born: 1e300 },
@@ -151,21 +151,21 @@
     { address: '10.0.0.9' }, { address: '10.0.0.999:80' }, { address: '10.0.0.9:99999' },
     { address: '10.0.0.9:0' }, { address: ':::80' }, { address: undefined },
     { cold_remaining_ms: 'long' }, { version: 3 },
-  ])('should be refused with its code where it holds %j', (fields) => {
+  ])('should be refused with a result code if they contain %j', (fields) => {
     const body = Buffer.from(JSON.stringify({
       service: 's', address: '10.0.0.9:80', zone: 'a', version: 'v1', slots: 7, state: 'ready', cold_remaining_ms: 0, sequence: 4, born: 7, ...fields,
     }));
     expect(() => decodeHeartbeat('i-7', body)).toThrow(expect.objectContaining({ code: 'announcementInvalid' }));
   });
 
-  it('should be refused where its bytes cannot be read', () => {
+  it('should be refused if the body cannot be decoded', () => {
     const bytes = Buffer.concat([Buffer.from('{"service":"'), Buffer.from([0xff, 0xfe]), Buffer.from('"}')]);
     expect(() => decodeHeartbeat('i-7', bytes)).toThrow(expect.objectContaining({ code: 'malformedJson' }));
     expect(() => decodeDeregistration('i-7', bytes)).toThrow(expect.objectContaining({ code: 'malformedJson' }));
     expect(() => decodeDeregistration('i-7', Buffer.from('{"born":"soon"}'))).toThrow(expect.objectContaining({ code: 'announcementInvalid' }));
   });
 
-  it.each(['', '{', '[]', '{"service":"s"}', '{"service":"s","address":"x","zone":"a","state":"ready","sequence":1}'])('should be refused when it is %s', (body) => {
+  it.each(['', '{', '[]', '{"service":"s"}', '{"service":"s","address":"x","zone":"a","state":"ready","sequence":1}'])('should be refused if the body is %s', (body) => {
     expect(() => decodeHeartbeat('i-7', Buffer.from(body))).toThrow();
   });
 });
@@ -178,14 +178,14 @@
     ...common, callerAddress: '10.0.0.4:1', readinessAddress: '10.0.0.4:2', graceSeconds: 8, retryRatio: 0.2, retrySlack: 56, retryWindowSeconds: 10,
   };
 
-  it('should find our own processes at the first internal port of the seeds', () => {
+  it('should define internal addresses by the IPs and the first internal port', () => {
     const settings = parseRelaySettings(`// filled in\n${JSON.stringify(relay)}`);
     expect(listSeeds(settings)).toEqual(['10.0.0.1:7600', '10.0.0.2:7600']);
     expect(buildPeerAddress(settings)).toBe('10.0.0.4:7600');
     expect(settings.logLevel).toBe('info');
   });
 
-  it('should name every wrong field at once', () => {
+  it('should be refused with an error that lists every invalid field', () => {
     expect(() => parseRelaySettings(JSON.stringify({ ...relay, graceSeconds: 'x', retryRatio: -1 }))).toThrow(/graceSeconds[\s\S]*retryRatio/);
     expect(() => parseControlSettings(JSON.stringify(common))).toThrow(/dataFolder/);
     expect(() => parseControlSettings('{')).toThrow();
--- a/tests/platform/platform-site.spec.ts
+++ b/tests/platform/platform-site.spec.ts
@@ -13,7 +13,7 @@
 
 const PROGRAM = resolve('target/beechlift.cjs');
 const WAIT_MS = 20_000;
-/** Milliseconds after its acknowledgement in which a change must be in force everywhere. */
+/** Time after its acknowledgement in which all entries must apply a change, in milliseconds. */
 const APPLY_MS = 2_500;
 
 const parsePort = (address: string): string => address.slice(address.lastIndexOf(':') + 1);
@@ -22,14 +22,17 @@
   const deadline = performance.now() + WAIT_MS;
   const poll = async (): Promise<void> => {
     if (await isDone().catch(() => false)) return;
-    if (performance.now() > deadline) throw new Error(`not within ${WAIT_MS} ms: ${description}`);
+    if (performance.now() > deadline) throw new Error(`timed out after ${WAIT_MS} ms: ${description}`);
     await pause(25);
     await poll();
   };
   await poll();
 };
 
-/** Three control replicas and two entries, as the platform starts them, one IP for each machine. */
+/**
+ * A site of three control replicas and two entries, started like on the platform. Each machine has
+ * an IP address of its own.
+ */
 class PlatformSite {
   readonly entryPort: string;
 
@@ -90,17 +93,17 @@
     });
   }
 
-  /** Stops processes where they are. */
+  /** Suspends processes. */
   freeze(names: readonly string[]): void {
     names.forEach((name) => this.processes.get(name)?.kill('SIGSTOP'));
   }
 
-  /** Lets frozen processes go on. */
+  /** Resumes suspended processes. */
   resume(names: readonly string[]): void {
     names.forEach((name) => this.processes.get(name)?.kill('SIGCONT'));
   }
 
-  /** Machine of the control replica that leads. */
+  /** Returns the machine of the leading control replica, or 0 if there is none. */
   async findLeader(): Promise<number> {
     const texts = await Promise.all([1, 2, 3].map(async (machine) => (
       (await request(`http://127.0.0.${machine}:${this.operatorPort}/metrics`)).body.text())));
@@ -166,7 +169,7 @@
   let site: PlatformSite;
   let server: ScriptedServer;
   let sequence = 0;
-  /** Time from the server's first acknowledgement until both entries sent it requests. */
+  /** Time from the first acknowledged heartbeat until both entries sent requests to the server. */
   let discoveryMs = Infinity;
 
   const sendHeartbeat = (machine: number): Promise<number> => {
@@ -201,7 +204,7 @@
     await waitFor('a heartbeat is acknowledged', async () => await sendHeartbeat(3) === 200);
     const acknowledgedAt = performance.now();
     const isServed = async (machine: number) => (await sendRequest(machine)).status === 200;
-    await waitFor('both entries have heard of the server', async () => await isServed(4) && isServed(5));
+    await waitFor('both entries send requests to the server', async () => await isServed(4) && isServed(5));
     discoveryMs = performance.now() - acknowledgedAt;
   });
 
@@ -210,24 +213,25 @@
     server.close();
   });
 
-  it('should serve a request from end to end, and name its entries', async () => {
+  it('should serve a request end to end and list the entries', async () => {
     const { status, headers, text } = await sendRequest(4);
     expect([status, text, headers['server-stamp']]).toEqual([200, 'got POST /x/1?y=2 HTTP/1.1', '3e1b']);
     expect(server.requests.at(-1)).toMatch(/Expected-Instance: i-1/);
     expect(server.requests.at(-1)).toMatch(/Tenant: n/);
     expect(server.requests.at(-1)).not.toMatch(/k1/);
-    await waitFor('both entries are named', async () => (await site.queryDirectory(1)).length === 2);
+    await waitFor('both entries are listed', async () => (await site.queryDirectory(1)).length === 2);
   });
 
   /*
-   * Entries that were ready before the first server announced itself answered "no backend server"
-   * just after it was acknowledged: news of servers wait for others, 50 ms on a small site.
+   * Guards against refusals just after a server is acknowledged. Entries that were ready before the
+   * first announcement answered "no backend server", as server updates are batched for 50 ms on a
+   * small site.
    */
   it('should send requests to a server soon after it has announced itself', () => {
     expect(discoveryMs).toBeLessThan(1_000);
   });
 
-  it('should tell what it counts at entries and control', async () => {
+  it('should expose metrics at entries and control replicas', async () => {
     const read = async (address: string): Promise<string> => (
       (await request(`http://${address}/metrics`)).body.text());
     const entry = await read(`127.0.0.4:${site.readinessPort}`);
@@ -241,51 +245,51 @@
     expect(leads[0]).toMatch(/beechlift_entries 2/);
   });
 
-  it('should refuse an invalid document and keep on serving', async () => {
+  it('should refuse an invalid document and keep serving', async () => {
     expect(await site.post(1, '/v1/Configuration.Replace', '{"version": 9, "routes')).toBeGreaterThanOrEqual(400);
     expect(await site.post(1, '/v1/Instances.Heartbeat/i-2', '{}')).toBe(400);
     expect((await sendRequest(5)).status).toBe(200);
   });
 
-  it('should let no key in that a newer document took away', async () => {
+  it('should refuse a key that a newer document removed', async () => {
     await waitFor('the key is replaced', async () => await site.post(3, '/v1/Configuration.Replace', buildDocument(5, ['k2'])) === 200);
     await waitFor('the old key is refused', async () => (await sendRequest(4)).status === 401);
     expect((await sendRequest(4, 'k2')).status).toBe(200);
   });
 
-  // A control replica dies without a word: the site goes on, and takes it back.
-  it('should go on when a control replica is killed, and take it back', async () => {
+  // The replica is killed without a graceful shutdown and rejoins after a restart.
+  it('should keep serving when a control replica is killed, and readmit it', async () => {
     await site.endProcess('control-1', 'SIGKILL');
     expect((await sendRequest(4, 'k2')).status).toBe(200);
     await waitFor('a change is accepted', async () => await site.post(2, '/v1/Configuration.Replace', buildDocument(8, ['k2'])) === 200);
     site.startControl(1, false);
-    await waitFor('the newest is read at it', async () => {
+    await waitFor('the restarted replica returns the newest document', async () => {
       const answer = await request(`http://127.0.0.1:${site.operatorPort}/v1/Configuration.Read`);
       return (await answer.body.json() as { version?: number }).version === 8;
     });
   });
 
   /*
-   * All control replicas lose power for seconds. The entries go on under their leases, but callers
-   * that have not asked yet find nobody to connect to, as control alone knew the entries.
+   * Guards against callers that find no entry while all control replicas are down for seconds. The
+   * entries keep serving under their leases, so they must be able to list each other.
    */
-  it('should tell callers where to connect while control is gone', async () => {
-    await waitFor('the entry knows both', async () => (await site.queryDirectory(4)).length === 2);
+  it('should list the entries to callers while all control replicas are down', async () => {
+    await waitFor('the entry lists both entries', async () => (await site.queryDirectory(4)).length === 2);
     await Promise.all([1, 2, 3].map((machine) => site.endProcess(`control-${machine}`, 'SIGKILL')));
     expect(await site.queryDirectory(4)).toHaveLength(2);
     expect((await sendRequest(4, 'k2')).status).toBe(200);
     [1, 2, 3].forEach((machine) => site.startControl(machine, false));
-    await waitFor('control is back', async () => (await site.queryDirectory(2)).length === 2);
+    await waitFor('control lists both entries', async () => (await site.queryDirectory(2)).length === 2);
   });
 
   /*
-   * A confirmed change adds a key; 2.6 s later an entry turns the key away, as the document before
-   * says. Nobody answered its questions meanwhile: it and the leader had stopped, another leader
-   * took the change. Its lease counted from the time in which a key must be dead, not from the one
-   * in which a change must be in force. Proof: it stopped serving by itself, at the lease's end.
+   * Guards against an entry that refuses a new key after the apply limit of the change. The entry
+   * and the leader were suspended while another leader accepted the change, so the entry received
+   * no update. Its lease was derived from the revocation limit instead of the shorter apply limit.
+   * It must stop serving when its lease ends.
    */
-  it('should not serve by an older document when a change must be in force', async () => {
-    await waitFor('a leader leads', async () => await site.findLeader() > 0);
+  it('should not use an older document after the apply limit of a change', async () => {
+    await waitFor('a replica leads', async () => await site.findLeader() > 0);
     const leader = `control-${await site.findLeader()}`;
     const others = ['control-1', 'control-2', 'control-3'].filter((name) => name !== leader);
     const other = Number(others[0]?.slice(-1));
@@ -299,12 +303,12 @@
     } finally {
       site.resume([leader, ...others, 'entry-4']);
     }
-    await waitFor('the key opens', async () => (await sendRequest(4, 'k3')).status === 200);
+    await waitFor('the new key is accepted', async () => (await sendRequest(4, 'k3')).status === 200);
   });
 
-  it('should end an entry in order, named to nobody before it goes', async () => {
+  it('should shut an entry down gracefully, after its removal from the directory', async () => {
     const ended = site.endProcess('entry-5', 'SIGTERM');
-    await waitFor('it is named no more', async () => (await site.queryDirectory(2)).length === 1);
+    await waitFor('the entry is no longer listed', async () => (await site.queryDirectory(2)).length === 1);
     expect((await sendRequest(5, 'k2')).status).toBe(200);
     expect(await ended).toBe(0);
   });
--- a/tests/platform/start-cost.spec.ts
+++ b/tests/platform/start-cost.spec.ts
@@ -9,15 +9,15 @@
 import { listFaults } from '../../src/utils/schemaFaults';
 import { buildValidator } from '../../src/utils/schemaValidator';
 
-/** Flags of Node.js with which the platform starts a role, as the deploy file says. */
+/** Reads from the deploy file the Node.js flags with which the platform starts a role. */
 const readFlags = (role: string): string[] => {
   const deploy = readFileSync('deploy/system.toml', 'utf8');
   const [, command] = new RegExp(`^run = "node (.*target/beechlift.cjs ${role})"$`, 'm').exec(deploy) ?? [];
-  if (command === undefined) throw new Error(`deploy/system.toml runs no role "${role}"`);
+  if (command === undefined) throw new Error(`deploy/system.toml has no run command for role "${role}"`);
   return command.split(' ').filter((word) => word.startsWith('--'));
 };
 
-/** Loads a bundle's cache as the launcher does; prints whether V8 refused it. */
+/** Loads the code cache of a bundle like the launcher; prints whether V8 rejected it. */
 const CACHE_CHECK_SCRIPT = `
   const { readFileSync } = require('node:fs');
   const { Script } = require('node:vm');
@@ -29,12 +29,12 @@
 `;
 
 /*
- * A process that was killed needed a quarter longer to start than the same program with other
- * flags. V8 takes compiled code only from a process with the same flags: with a heap limit on the
- * command line it also compiled all that Node.js ships compiled.
+ * Guards against flags that slow down a restart. V8 accepts compiled code only from a process with
+ * the same flags. With a heap limit on the command line, it rejected the cache and also compiled
+ * the code that Node.js ships in compiled form, and a start took a quarter longer.
  */
 describe.each(['relay', 'control'])('the start of the role "%s"', (role) => {
-  it('should take the code that the build compiled', () => {
+  it('should use the code that the build compiled', () => {
     const flags = readFlags(role);
     expect(flags).toEqual([]);
     const bundle = resolve(`target/${role}.cjs`);
@@ -43,8 +43,8 @@
   });
 
   /*
-   * A process that was killed compiled the schemas of its settings and of the document before it
-   * served anybody: a sixth of the processor time of its start.
+   * Guards against schemas that are compiled at every start. Compiling those of the settings and
+   * the routing document took a sixth of the processor time of a start.
    */
   it('should compile no schema', async () => {
     const { metafile } = await build({
@@ -57,11 +57,11 @@
 });
 
 describe('the validators of the programs', () => {
-  it('should be those of the schemas', () => {
+  it('should match the schemas', () => {
     expect(readFileSync('platform/generated/validators.js', 'utf8')).toBe(generateValidators());
   });
 
-  it('should name what is wrong as before they were compiled ahead', () => {
+  it('should report the same faults as validators that are compiled at run time', () => {
     expect(listFaults(validateHeartbeat, { service: '', address: 'x', slots: 0 })
       .map(({ path, message }) => `${path}: ${message}`)).toEqual(
       buildValidator(heartbeatSchema)({ service: '', address: 'x', slots: 0 })
