--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -13,8 +13,8 @@
 const CALL_TIMEOUT_MS = 5_000;
 
 /**
- * An operator's side of the control replicas: asks one after the other until one decides. A
- * manifest may be sent as often as one likes, so a lost answer is no reason to stop.
+ * Calls the control replicas for an operator, one after the other until one decides. A manifest may
+ * be submitted repeatedly, so a call whose reply was lost is retried.
  *
  * @example
  * const client = new OperatorClient(['10.0.0.1:7200'], key);
@@ -33,19 +33,22 @@
     }, timeoutMs);
   }
 
-  /** Reads the status of the leader, or of whoever answers when none leads. */
+  /** Reads the status of the leader, or of another replica if no leader answers. */
   async readStatus(timeoutMs: number): Promise<StatusReply> {
     const request = { operatorKey: this.operatorKey };
-    const first = await this.callUntilDecided<StatusRequest, StatusReply>('readStatus', request, timeoutMs);
+    const first = await this.callUntilDecided<StatusRequest, StatusReply>(
+      'readStatus',
+      request,
+      timeoutMs,
+    );
     if (first.role === 'leader' || first.leaderAddress === '') return first;
     return this.callOnce<StatusRequest, StatusReply>(first.leaderAddress, 'readStatus', request)
       .catch(() => first);
   }
 
-  /** Begins to replace a replica. */
+  /** Starts the replacement of a replica. */
   changeReplicas(
-    request: Omit<ChangeReplicasRequest,
-      'operatorKey'>,
+    request: Omit<ChangeReplicasRequest, 'operatorKey'>,
     timeoutMs: number,
   ): Promise<SubmitReply> {
     return this.callUntilDecided<ChangeReplicasRequest, SubmitReply>('changeReplicas', {
@@ -67,7 +70,7 @@
       const error = toPeerError(thrown, 'noQuorum');
       const remainingMs = timeoutMs - (performance.now() - startedAt) - RETRY_PAUSE_MS;
       const isFinal = resultCodes[error.code].status !== 503 && error.code !== 'replicaChangeRefused';
-      if (isFinal || remainingMs <= 0) throw new BeechliftError(error.code, `${error.message} (last asked: ${address})`);
+      if (isFinal || remainingMs <= 0) throw new BeechliftError(error.code, `${error.message} (last replica tried: ${address})`);
       await pause(RETRY_PAUSE_MS);
       return this.callUntilDecided<Request, Reply>(method, request, remainingMs, attempt + 1);
     }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -4,17 +4,17 @@
 /** Exit codes that a pipeline can branch on. */
 export const EXIT_CODES = {
   done: 0,
-  /** The input was refused; sending it again changes nothing. */
+  /** The input was refused; a retry would fail as well. */
   refused: 1,
   /** The command line was wrong. */
   usage: 2,
-  /** The system did not answer or could not decide; sending it again is safe. */
+  /** The system did not answer or could not decide; a retry is safe. */
   unavailable: 3,
-  /** The process ended on a fault of its own machine. */
+  /** Internal error, or failure of the local machine such as its disk. */
   fault: 4,
 } as const;
 
-/** Writes a result for people, or as JSON for pipelines. */
+/** Prints a result as text, or as JSON for pipelines. */
 export const printResult = (result: object, text: string, asJson: boolean): void => {
   process.stdout.write(`${asJson ? JSON.stringify(result) : text}\n`);
 };
@@ -26,7 +26,7 @@
 };
 
 /**
- * Writes an error and returns the exit code that goes with it.
+ * Prints an error and returns its exit code.
  *
  * @example
  * process.exitCode = printError(toBeechliftError(thrown), argv.json);
--- a/src/cli/runCheck.ts
+++ b/src/cli/runCheck.ts
@@ -5,10 +5,10 @@
 import { parseControlSettings, parseEntrySettings, readTextFile } from '../settings/loadSettings';
 import { EXIT_CODES, printResult } from './output';
 
-/** Kinds of document that `check` reads. */
+/** Kinds of document that `check` validates. */
 export type CheckedKind = 'manifest' | 'entry' | 'control';
 
-/** The same kinds, as the command line offers them. */
+/** Choices of the option `--kind`. */
 export const CHECKED_KINDS: readonly CheckedKind[] = ['manifest', 'entry', 'control'];
 
 /** Arguments of `check`. */
@@ -26,12 +26,12 @@
     return EXIT_CODES.refused;
   }
   const digest = computeDigest(manifest);
-  printResult({ ok: true, version: manifest.version, digest }, `version ${manifest.version} is sound, digest ${digest}`, json);
+  printResult({ ok: true, version: manifest.version, digest }, `version ${manifest.version} is valid, digest ${digest}`, json);
   return EXIT_CODES.done;
 };
 
 const printValidSettings = (json: boolean): number => {
-  printResult({ ok: true }, 'the settings are sound', json);
+  printResult({ ok: true }, 'the settings are valid', json);
   return EXIT_CODES.done;
 };
 
@@ -47,7 +47,7 @@
   },
 };
 
-/** Checks a document without asking the system. */
+/** Validates a document offline. */
 export const runCheck = ({
   file, kind, schema, json,
 }: CheckArguments): number => {
--- a/src/cli/runLocate.ts
+++ b/src/cli/runLocate.ts
@@ -15,7 +15,7 @@
 
 const TIMEOUT_MS = 5_000;
 
-/** Asks an entry VM which ones to use. */
+/** Asks an entry VM which entry VMs to use, and prints them. */
 export const runLocate = async ({
   entry, key, zone, json,
 }: LocateArguments): Promise<number> => {
@@ -24,7 +24,7 @@
     headersTimeout: TIMEOUT_MS,
     bodyTimeout: TIMEOUT_MS,
   }).catch((cause: unknown) => {
-    throw new BeechliftError('configurationStale', `${entry} does not answer: ${(cause as Error).message}`);
+    throw new BeechliftError('configurationStale', `no answer from entry ${entry}: ${(cause as Error).message}`);
   });
   const body = await response.body.json();
   if (response.statusCode !== 200) {
@@ -32,7 +32,8 @@
     throw makeErrorFromNumber(error.code, error.message);
   }
   const answer = body as LocateAnswer;
-  const lines = answer.entries.map(({ id, address, zone: entryZone }) => `${address}  ${id} in ${entryZone}`);
-  printResult(answer, [...lines, `keep for ${answer.keepMs} ms`].join('\n'), json);
+  const lines = answer.entries
+    .map(({ id, address, zone: entryZone }) => `${address}  ${id} in ${entryZone}`);
+  printResult(answer, [...lines, `valid for ${answer.keepMs} ms`].join('\n'), json);
   return EXIT_CODES.done;
 };
--- a/src/cli/runOperator.ts
+++ b/src/cli/runOperator.ts
@@ -6,7 +6,7 @@
 import { OperatorClient } from './operatorClient';
 import { EXIT_CODES, printResult } from './output';
 
-/** Arguments that all commands to control share. */
+/** Arguments of all commands that call control replicas. */
 export interface OperatorArguments {
   readonly control: readonly string[];
   readonly key: string;
@@ -34,28 +34,28 @@
 };
 
 const formatStatus = (status: StatusReply): string => [
-  `replica ${status.id} is ${status.role} in term ${status.term}, leader at ${status.leaderAddress || 'nobody'}`,
+  `replica ${status.id} is ${status.role} in term ${status.term}, leader at ${status.leaderAddress || 'none'}`,
   `manifest version ${status.manifestVersion}, digest ${status.manifestDigest || 'none'}, log index ${status.commitIndex}`,
-  `view ${status.viewNumber}, holder set ${status.holders?.number ?? 0} with ${status.holders?.current.map(({ id }) => id).join(', ') ?? ''}, ${status.claims} claims here`,
+  `view ${status.viewNumber}, holder set ${status.holders?.number ?? 0} with ${status.holders?.current.map(({ id }) => id).join(', ') ?? ''}, ${status.claims} claims on this replica`,
   ...status.members.map(({ member, manifestVersion, silentMs }) => (
-    `  entry ${member?.id} in ${member?.zone}, ${member?.state}, version ${manifestVersion}, heard ${silentMs} ms ago, callers at ${member?.callerAddress}`)),
+    `  entry ${member?.id} in ${member?.zone}, ${member?.state}, version ${manifestVersion}, last seen ${silentMs} ms ago, callers at ${member?.callerAddress}`)),
 ].join('\n');
 
-/** Prints what is in force, and where. */
+/** Prints the status of the leading control replica and of the entries. */
 export const runStatus = async (options: OperatorArguments): Promise<number> => {
   const status = await makeClient(options).readStatus(options.timeout);
   printResult(status, formatStatus(status), options.json);
   return EXIT_CODES.done;
 };
 
-/** Begins to replace a control replica. */
+/** Starts the replacement of a control replica. */
 export const runReplace = async (
   removeId: string,
   add: Replica,
   options: OperatorArguments,
 ): Promise<number> => {
   const reply = await makeClient(options).changeReplicas({ removeId, add }, options.timeout);
-  printResult(reply, `replacing ${removeId} by ${add.id} has ${reply.message}; see status for its end`, options.json);
+  printResult(reply, `replacing ${removeId} by ${add.id} has ${reply.message}; run status to see when it is complete`, options.json);
   return EXIT_CODES.done;
 };
 
@@ -63,7 +63,7 @@
 export const runExplain = (code: string, json: boolean): number => {
   const name = Object.hasOwn(resultCodes, code) ? code as ResultCode : findCodeName(Number(code));
   if (!name) {
-    process.stderr.write(`no result code "${code}"; docs/CODES.md lists all\n`);
+    process.stderr.write(`unknown result code "${code}"; docs/CODES.md lists all codes\n`);
     return EXIT_CODES.usage;
   }
   const row = resultCodes[name];
--- a/src/cli/runProcess.ts
+++ b/src/cli/runProcess.ts
@@ -5,7 +5,7 @@
 
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-/** Ends a process gracefully on the first signal, at once on the second. */
+/** Shuts the process down gracefully on the first signal, and exits at once on the second. */
 const stopOnSignal = (shutDown: () => Promise<void>): void => {
   let isStopping = false;
   STOP_SIGNALS.forEach((signal) => process.on(signal, () => {
@@ -17,7 +17,7 @@
   }));
 };
 
-/** Ends a process that could not start, whatever it has open already. */
+/** Starts a process; exits if that fails, even with connections or files open. */
 const exitOnStartFailure = async (start: () => Promise<void>): Promise<void> => {
   try {
     await start();
@@ -26,7 +26,7 @@
   }
 };
 
-/** Runs an entry until it is told to stop. */
+/** Runs an entry until a stop signal. */
 export const runEntry = (settingsFile: string): Promise<void> => exitOnStartFailure(async () => {
   const settings = parseEntrySettings(readTextFile(settingsFile));
   const { shutDown } = await wireEntry(settings);
@@ -34,14 +34,14 @@
 });
 
 /*
- * Guards against a replica that goes on with a disk which refused a write: what it would vote for
- * could be gone after a restart. It ends, and the others go on without it.
+ * Exits after a failed write to disk: votes that are not stored could be lost with a restart. The
+ * other replicas continue without this one.
  */
 const exitOnStorageFailure = (error: unknown): void => {
   process.exit(printError(toBeechliftError(error), false));
 };
 
-/** Runs a control replica until it is told to stop. */
+/** Runs a control replica until a stop signal. */
 export const runControl = (settingsFile: string): Promise<void> => exitOnStartFailure(async () => {
   const settings = parseControlSettings(readTextFile(settingsFile));
   const { shutDown } = await wireControl(settings, exitOnStorageFailure);
--- a/src/disk/claimStore.ts
+++ b/src/disk/claimStore.ts
@@ -4,6 +4,7 @@
 import { RecordFile } from './recordFile';
 
 const MIN_COMPACTION_BYTES = 4_194_304;
+/** Factor by which the file grows before it is compacted again. */
 const COMPACTION_GROWTH = 4;
 
 const encodeClaim = (record: ClaimRecord): string => (
@@ -15,7 +16,7 @@
 );
 
 /**
- * Keeps a holder's claims on disk, so that it never forgets what it promised.
+ * Stores a holder's claims on disk, so that its promises survive a restart.
  *
  * @example
  * const store = new ClaimStore(nodeFileSystem, 'data');
@@ -30,7 +31,7 @@
     this.file = new RecordFile(files, join(folder, 'claims.log'));
   }
 
-  /** Bytes on disk. */
+  /** Size of the file, in bytes. */
   get size(): number {
     return this.file.size;
   }
@@ -41,17 +42,17 @@
     return records.map(decodeClaim);
   }
 
-  /** Adds a record; resolves once it is synced. */
+  /** Appends a record; resolves once it is synced. */
   append(record: ClaimRecord): Promise<void> {
     return this.file.append([encodeClaim(record)]);
   }
 
-  /** Whether most of the file is about claims that changed since or expired. */
+  /** Whether most records of the file are outdated: their claims changed later or expired. */
   get needsCompaction(): boolean {
     return this.size > Math.max(MIN_COMPACTION_BYTES, this.compactedBytes * COMPACTION_GROWTH);
   }
 
-  /** Rewrites the file with the claims that are still kept. */
+  /** Rewrites the file with the current claims. */
   async compact(listRecords: () => readonly ClaimRecord[]): Promise<void> {
     await this.file.replace(() => listRecords().map(encodeClaim));
     this.compactedBytes = this.size;
--- a/src/disk/fileSystem.ts
+++ b/src/disk/fileSystem.ts
@@ -2,9 +2,9 @@
   mkdir, open, readFile, rename, rm,
 } from 'node:fs/promises';
 
-/** A file that is only appended to. */
+/** A file that is opened for appending. */
 export interface AppendFile {
-  /** Writes at the end; the bytes last only after `sync`. */
+  /** Appends bytes; they survive a power loss only after `sync`. */
   readonly append: (bytes: Buffer) => Promise<void>;
   readonly sync: () => Promise<void>;
   readonly truncate: (length: number) => Promise<void>;
@@ -12,21 +12,21 @@
 }
 
 /**
- * The part of a file system that the stores use; tests put one in its place that loses what was not
- * synced.
+ * The file system operations that the stores use; tests replace them by a file system that loses
+ * unsynced data.
  */
 export interface FileSystem {
   readonly makeFolder: (path: string) => Promise<void>;
-  /** Whole content, or undefined when there is no such file. */
+  /** Reads the whole file; undefined if it does not exist. */
   readonly readFile: (path: string) => Promise<Buffer | undefined>;
   readonly openAppend: (path: string) => Promise<AppendFile>;
   readonly rename: (from: string, to: string) => Promise<void>;
   readonly remove: (path: string) => Promise<void>;
-  /** Makes renames and new names in a folder last. */
+  /** Makes renames and new files in a folder durable. */
   readonly syncFolder: (path: string) => Promise<void>;
 }
 
-/** The machine's own file system. */
+/** The file system of the machine. */
 export const nodeFileSystem: FileSystem = {
   makeFolder: async (path) => {
     await mkdir(path, { recursive: true });
--- a/src/disk/logStore.ts
+++ b/src/disk/logStore.ts
@@ -7,7 +7,7 @@
 type LogRecord = | { readonly kind: 'state'; readonly hardState: HardState; readonly entries: readonly LogEntry[] }
   | { readonly kind: 'snapshot'; readonly snapshot: Snapshot };
 
-/** One change of the log on its way to disk. */
+/** A change of the log to be written to disk. */
 export interface LogAppend {
   readonly hardState: HardState;
   readonly entries: readonly LogEntry[];
@@ -18,7 +18,7 @@
 const applyEntries = (log: ReplayedLog, entries: readonly LogEntry[]): LogEntry[] => {
   const [first] = entries;
   if (!first) return log.entries;
-  // Entries replace all that stood from their index on.
+  // New entries replace all stored ones from their index on.
   return [...log.entries.filter(({ index }) => index < first.index), ...entries];
 };
 
@@ -31,7 +31,7 @@
 };
 
 /**
- * Keeps a replica's log on disk.
+ * Stores a replica's log on disk.
  *
  * @example
  * const store = new LogStore(nodeFileSystem, 'data');
@@ -44,12 +44,12 @@
     this.file = new RecordFile(files, join(folder, 'manifest.log'));
   }
 
-  /** Bytes on disk. */
+  /** Size of the file, in bytes. */
   get size(): number {
     return this.file.size;
   }
 
-  /** Reads the log, or writes the empty one that a new site starts with. */
+  /** Reads the log; if there is none, writes and returns the empty log of a new site. */
   async load(empty: StoredLog): Promise<StoredLog> {
     const records = await this.file.open() as LogRecord[];
     if (records.length === 0) {
@@ -59,12 +59,12 @@
     return records.reduce(applyRecord, { ...empty, entries: [...empty.entries] });
   }
 
-  /** Adds changes in order; resolves once they are synced. */
+  /** Appends changes in order; resolves once they are synced. */
   append(appends: readonly LogAppend[]): Promise<void> {
     return this.file.append(appends.map((append): LogRecord => ({ kind: 'state', ...append })));
   }
 
-  /** Puts a snapshot and what follows it in the place of all that was written. */
+  /** Replaces the whole file by a snapshot and the entries after it. */
   replace(snapshot: Snapshot, hardState: HardState, entries: readonly LogEntry[]): Promise<void> {
     const records: LogRecord[] = [
       { kind: 'snapshot', snapshot },
--- a/src/disk/recordFile.ts
+++ b/src/disk/recordFile.ts
@@ -6,20 +6,25 @@
 const CHECKSUM_DIGITS = 8;
 const NEWLINE = 0x0a;
 
-/** One line for records that are written together, each of them as JSON. */
+/** Formats records that are written together, each given as JSON, as one line with a checksum. */
 const formatBatch = (records: readonly string[]): string => {
   const text = `[${records.join(',')}]`;
   return `${crc32(text).toString(16).padStart(CHECKSUM_DIGITS, '0')} ${text}\n`;
 };
 
-/** Records of a line; one that an earlier version wrote holds a single record, and no list. */
+/**
+ * Parses the records of a line; undefined if its checksum does not match. A line written by an
+ * earlier version holds a single record instead of a list.
+ */
 const parseLine = (line: string): unknown[] | undefined => {
   const text = line.slice(CHECKSUM_DIGITS + 1);
   const checksum = crc32(text).toString(16).padStart(CHECKSUM_DIGITS, '0');
-  return line.slice(0, CHECKSUM_DIGITS) === checksum ? [JSON.parse(text) as unknown].flat() : undefined;
+  return line.slice(0, CHECKSUM_DIGITS) === checksum
+    ? [JSON.parse(text) as unknown].flat()
+    : undefined;
 };
 
-/** What a file held: its records, and how many bytes of it are sound. */
+/** Records of a file, and the number of its bytes that are valid. */
 interface ParsedContent {
   readonly records: unknown[];
   readonly validBytes: number;
@@ -31,10 +36,10 @@
 };
 
 /*
- * Guards against a torn write: a crash may leave any part of the last batch missing or mixed up.
- * Nothing there was answered yet, as answers wait for the sync, so it is cut off. All of a batch is
- * one line, so a bad line with a sound one after it is no torn write but damage to what was
- * answered, and is refused.
+ * After a crash any part of the last batch may be missing or garbled. Its records were not yet
+ * acknowledged, because that waits for the sync, so the batch is cut off. A batch is one line, so
+ * an invalid line before a valid one is not a torn write but corruption of acknowledged records:
+ * such a file is refused.
  */
 const parseContent = (path: string, content: Buffer): ParsedContent => {
   const lines = splitLines(content).map((line) => ({ line, records: parseLine(line) }));
@@ -46,7 +51,7 @@
   }
   const isFollowedByValid = lines.slice(firstInvalid).some(({ records }) => records !== undefined);
   if (isFollowedByValid) {
-    throw new BeechliftError('logCorrupt', `line ${firstInvalid + 1} of "${path}" does not match its checksum, and sound lines follow it`);
+    throw new BeechliftError('logCorrupt', `line ${firstInvalid + 1} of "${path}" does not match its checksum, but valid lines follow it`);
   }
   const validLines = lines.slice(0, firstInvalid);
   return {
@@ -60,8 +65,8 @@
 );
 
 /**
- * A file of checksummed lines, one for all records that are written together. Writers that come
- * while a sync is under way share the next one.
+ * A file of checksummed lines, one for all records that are written together. Appends during a sync
+ * share the next one.
  *
  * @example
  * const file = new RecordFile(nodeFileSystem, 'data/log');
@@ -71,7 +76,7 @@
 export class RecordFile {
   private file: AppendFile | undefined;
 
-  /** Records that wait to be written, each as JSON. */
+  /** Records to be written, each as JSON. */
   private pending: string[] = [];
 
   private queue: Promise<void> = Promise.resolve();
@@ -82,41 +87,42 @@
 
   constructor(private readonly files: FileSystem, private readonly path: string) {}
 
-  /** Bytes in the file. */
+  /** Size of the file, in bytes. */
   get size(): number {
     return this.bytesWritten;
   }
 
-  /** Reads what the file holds, cuts a torn end off, and opens it for appending. */
+  /** Reads all records, cuts off a torn end, and opens the file for appending. */
   async open(): Promise<unknown[]> {
     await this.files.makeFolder(dirname(this.path));
     const content = await this.files.readFile(this.path) ?? Buffer.alloc(0);
-    const { records, validBytes: validBytes } = parseContent(this.path, content);
+    const { records, validBytes } = parseContent(this.path, content);
     this.file = await this.files.openAppend(this.path);
     if (validBytes < content.length) {
       await this.file.truncate(validBytes);
     } else if (content.length > 0 && content.at(-1) !== NEWLINE) {
-      // The last record is whole but its line end was torn off.
+      // The last record is complete, only its newline is missing.
       await this.file.append(Buffer.from('\n'));
     }
-    // A process that was killed in the middle of a sync leaves records that are not on the disk.
+    // A process killed during a sync leaves records that can be read but may not be on the disk.
     if (content.length > 0) await this.file.sync();
     await this.files.syncFolder(dirname(this.path));
     this.bytesWritten = validBytes;
     return records;
   }
 
-  /** Adds records; resolves once they are synced. */
+  /** Appends records; resolves once they are synced. */
   append(records: readonly unknown[]): Promise<void> {
     this.pending.push(...records.map((record) => JSON.stringify(record)));
     return this.enqueue(() => this.flush());
   }
 
-  /*
-   * Guards against a crash in the middle of a rewrite: the new content is whole and synced under
-   * another name before it takes the place of the old, and the folder is synced after. The records
-   * are listed when the rewrite begins, so that nothing which was appended in the meantime is left
-   * out.
+  /**
+   * Replaces all records; a crash leaves either the old or the new ones.
+   *
+   * The new content is written and synced under another name, then renamed, then the folder is
+   * synced. The records are listed when the rewrite begins, so that those appended until then are
+   * included.
    */
   replace(listRecords: () => readonly unknown[]): Promise<void> {
     return this.enqueue(() => {
@@ -125,7 +131,7 @@
     });
   }
 
-  /** Waits for what is being written and closes the file. */
+  /** Waits for pending writes and closes the file. */
   async close(): Promise<void> {
     await this.queue;
     await this.file?.close();
@@ -133,8 +139,9 @@
   }
 
   /*
-   * Guards against a write that failed for one caller and looks done to the next, whose records
-   * were in the same batch: after a failure nothing more is written and everyone hears of it.
+   * Runs a write after the previous ones. Once a write has failed, all later ones fail as well:
+   * otherwise a caller whose records were in the failed batch would find nothing left to write, and
+   * its append would seem to succeed.
    */
   private enqueue(task: () => Promise<void>): Promise<void> {
     const result = this.queue.then(async () => {
--- a/src/http/addGracefulClose.ts
+++ b/src/http/addGracefulClose.ts
@@ -3,7 +3,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import type { FastifyInstance } from 'fastify';
 
-/** Longest wait for callers that read slowly, in milliseconds. */
+/** Longest wait for slow callers to read their responses, in milliseconds. */
 const FLUSH_TIMEOUT_MS = 2_000;
 
 const isUnflushed = (response: ServerResponse | undefined): response is ServerResponse => (
@@ -16,14 +16,14 @@
 });
 
 /**
- * Sees to what the library's own close gets wrong: it destroys connections whose answers are ended
- * but not written, and waits for those that have brought nothing.
+ * Corrects the close of the library, which destroys connections whose responses have ended but are
+ * not fully written yet, and waits for connections that have not sent anything.
  *
  * @example
- * closeInOrder(app);
+ * addGracefulClose(app);
  */
 export const addGracefulClose = (app: FastifyInstance): void => {
-  /** The newest answer on each connection. */
+  /** Latest response on each connection. */
   const latestResponses = new Map<Socket, ServerResponse | undefined>();
   app.server.on('connection', (socket: Socket) => {
     latestResponses.set(socket, undefined);
--- a/src/http/adminServer.ts
+++ b/src/http/adminServer.ts
@@ -24,7 +24,7 @@
 };
 
 /**
- * Serves operators of one control replica: status, manifests and metrics.
+ * Makes the HTTP server of one control replica for operators: status, manifests and metrics.
  *
  * @example
  * const app = makeAdminServer(control);
--- a/src/http/callerServer.ts
+++ b/src/http/callerServer.ts
@@ -39,7 +39,7 @@
 };
 
 /**
- * Serves callers and backend servers of one entry VM.
+ * Makes the HTTP server of one entry VM for callers and backend servers.
  *
  * @example
  * const app = makeCallerServer(api);
--- a/src/http/httpServer.ts
+++ b/src/http/httpServer.ts
@@ -28,11 +28,13 @@
   const resultCode = frameworkCodes[code];
   if (resultCode) return new BeechliftError(resultCode, error.message);
   const isClientError = statusCode !== undefined && statusCode < 500;
-  return isClientError ? new BeechliftError('invalidRequest', error.message) : toBeechliftError(error);
+  return isClientError
+    ? new BeechliftError('invalidRequest', error.message)
+    : toBeechliftError(error);
 };
 
 /**
- * Sends an error in the form that docs/CALLERS.md shows.
+ * Sends an error in the format that docs/CALLERS.md describes.
  *
  * @example
  * sendError(reply, new BeechliftError('unknownPath', 'GET /x'));
@@ -45,19 +47,19 @@
   return reply.code(error.status).send(error.buildBody());
 };
 
-/** Answers what is no readable HTTP request, before there is a request to speak of. */
+/** Answers input that cannot be parsed as an HTTP request. */
 const handleClientError = (error: Error & { code?: string }, socket: Socket): void => {
   const isHeaderOverflow = error.code === 'HPE_HEADER_OVERFLOW';
   const codedError = isHeaderOverflow
-    ? new BeechliftError('headersTooLarge', `at most ${MAX_HEADER_BYTES} bytes of headers are taken`)
-    : new BeechliftError('invalidRequest', `no readable HTTP request: ${error.message}`);
+    ? new BeechliftError('headersTooLarge', `headers exceed the limit of ${MAX_HEADER_BYTES} bytes`)
+    : new BeechliftError('invalidRequest', `cannot parse the HTTP request: ${error.message}`);
   const body = JSON.stringify(codedError.buildBody());
   if (!socket.writable) return;
   socket.end(`HTTP/1.1 ${codedError.status} Refused\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 };
 
 /**
- * Makes an HTTP server whose errors all carry a code.
+ * Makes an HTTP server whose error responses all have a result code.
  *
  * @example
  * const app = makeHttpServer();
@@ -81,7 +83,7 @@
   return app;
 };
 
-/** Body of a request as bytes; empty when there is none. */
+/** Returns the body of a request; empty if it has none. */
 export const readBody = (request: FastifyRequest): Buffer => (
   Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0)
 );
--- a/src/http/httpSink.ts
+++ b/src/http/httpSink.ts
@@ -12,17 +12,16 @@
 };
 
 /**
- * Writes an answer to a caller: as a stream of server-sent events, or folded into one JSON
- * document.
+ * Writes an answer to a caller, either as a stream of server-sent events or as one JSON document.
  *
- * Guards against a slow caller that fills the memory: the next event is taken from the engine only
- * once the caller's connection has room.
+ * Bounds the memory for a slow caller: the next event is read from the engine only when the
+ * caller's connection has drained.
  *
  * @example
  * const sink = new HttpSink(reply, true, '/v1/chat/completions');
  */
 export class HttpSink implements AnswerSink {
-  /** The caller's end, as the runners see it. */
+  /** Connection to the caller. */
   readonly connection: CallerConnection;
 
   private readonly events: string[] = [];
@@ -55,7 +54,7 @@
     };
   }
 
-  /** Takes one event. */
+  /** Writes one event, or stores it for a JSON document. */
   async deliver(data: string): Promise<void> {
     if (!this.isStream) {
       this.events.push(data);
@@ -66,7 +65,7 @@
     this.nextEventId += 1;
   }
 
-  /** Ends a whole answer. */
+  /** Ends a complete answer. */
   async end(): Promise<void> {
     clearInterval(this.keepAlive);
     if (this.isDisconnected) return;
@@ -78,7 +77,7 @@
     this.reply.raw.end('data: [DONE]\n\n');
   }
 
-  /** Tells the caller what went wrong: by status, or, once a stream has begun, by an event. */
+  /** Reports an error to the caller: by status, or by an event once the stream has started. */
   fail(error: BeechliftError): void {
     clearInterval(this.keepAlive);
     if (this.isDisconnected) return;
@@ -94,7 +93,7 @@
     this.hasStarted = true;
     this.reply.hijack();
     this.reply.raw.writeHead(200, STREAM_HEADERS);
-    // Comments let a caller tell a silent connection from a slow answer.
+    // Comments let a caller distinguish a dead connection from a slow answer.
     this.keepAlive = setInterval(() => this.reply.raw.write(': keep-alive\n\n'), KEEP_ALIVE_MS);
     this.keepAlive.unref();
   }
--- a/src/http/listenOn.ts
+++ b/src/http/listenOn.ts
@@ -1,8 +1,8 @@
 import type { FastifyInstance } from 'fastify';
 
 /**
- * Binds an HTTP server to an address of the settings; returns the address with the port that was
- * given.
+ * Binds an HTTP server to an address from the settings; returns the address with the assigned
+ * port.
  *
  * @example
  * const address = await listenOn(app, '127.0.0.1:0');
--- a/src/main.ts
+++ b/src/main.ts
@@ -19,12 +19,15 @@
     type: 'string', array: true, demandOption: true, describe: 'Addresses of control replicas',
   },
   key: {
-    type: 'string', default: process.env.BEECHLIFT_OPERATOR_KEY ?? '', describe: 'Operator key; BEECHLIFT_OPERATOR_KEY otherwise',
+    type: 'string', default: process.env.BEECHLIFT_OPERATOR_KEY ?? '', describe: 'Operator key; BEECHLIFT_OPERATOR_KEY by default',
   },
-  timeout: { type: 'number', default: DEFAULT_TIMEOUT_MS, describe: 'Milliseconds to keep trying' },
+  timeout: { type: 'number', default: DEFAULT_TIMEOUT_MS, describe: 'Time limit for retries, in milliseconds' },
 } as const;
 
-const runCommand = async (json: boolean, run: () => Promise<number | void> | number): Promise<void> => {
+const runCommand = async (
+  json: boolean,
+  run: () => Promise<number | void> | number,
+): Promise<void> => {
   try {
     const code = await run();
     if (typeof code === 'number') process.exitCode = code;
@@ -76,12 +79,12 @@
     (command) => command
       .positional('file', { type: 'string', demandOption: true })
       .options(operatorOptions)
-      .example('$0 submit manifest.json --control 10.0.0.1:7200', 'until a majority has accepted it'),
+      .example('$0 submit manifest.json --control 10.0.0.1:7200', 'retry until a majority has accepted it'),
     (argv) => runCommand(argv.json, () => runSubmit(argv.file, argv)),
   )
   .command(
     'status',
-    'Print what is in force, and where',
+    'Print the status of the leading control replica and of the entries',
     (command) => command.options(operatorOptions).example('$0 status --control 10.0.0.1:7200', ''),
     (argv) => runCommand(argv.json, () => runStatus(argv)),
   )
@@ -103,11 +106,11 @@
   )
   .command(
     'locate',
-    'Ask an entry VM which ones to use',
+    'Ask an entry VM which entry VMs to use',
     (command) => command
       .option('entry', { type: 'string', demandOption: true, describe: 'Address of any entry VM' })
       .option('key', { type: 'string', default: process.env.BEECHLIFT_API_KEY ?? '', describe: 'API key' })
-      .option('zone', { type: 'string', default: '', describe: 'Own availability zone' })
+      .option('zone', { type: 'string', default: '', describe: 'Availability zone of the caller' })
       .example('$0 locate --entry 10.0.0.1:7000 --key KEY', ''),
     (argv) => runCommand(argv.json, () => runLocate(argv)),
   )
@@ -121,13 +124,13 @@
   )
   .command(
     'verify <records..>',
-    'Check what callers and engines recorded against what must always hold',
+    'Check records of callers and engines for violated invariants',
     (command) => command
       .positional('records', { type: 'string', array: true, demandOption: true })
-      .example('$0 verify callers.ndjson engines.ndjson', 'NDJSON of sent, answer and dispatch'),
+      .example('$0 verify callers.ndjson engines.ndjson', 'NDJSON with records of kind sent, answer and dispatch'),
     (argv) => runCommand(argv.json, () => runVerify(argv.records, argv.json)),
   )
-  .demandCommand(1, 'Name a command.')
+  .demandCommand(1, 'A command is required.')
   .strict()
   .wrap(100)
   .fail((message, error, parser) => {
--- a/src/telemetry/fileSpanExporter.ts
+++ b/src/telemetry/fileSpanExporter.ts
@@ -13,7 +13,7 @@
   attributes: span.attributes,
 });
 
-/** Writes spans as lines of JSON, which any collector reads. */
+/** Appends spans to a file as JSON lines, which any collector can read. */
 export class FileSpanExporter implements SpanExporter {
   constructor(private readonly path: string) {}
 
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -4,19 +4,19 @@
 /** Fields of a log line beside its message. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes structured lines. */
+/** Writes structured log lines. */
 export type Logger = Readonly<Record<'debug' | 'info' | 'warn' | 'error', (
   message: string,
   fields?: LogFields,
 ) => void>>;
 
-/** Bytes of lines that wait for a reader who is slow; what comes beyond is dropped and counted. */
+/** Limit on log lines buffered for a slow reader, in bytes; more lines are dropped and counted. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 const STDOUT_FD = 1;
 
 /*
- * Guards the event loop against a reader of the logs who stops reading: standard output is a pipe,
- * whose writes would block. Lines are written beside the loop, and dropped beyond a bound.
+ * Standard output is a pipe, so synchronous writes would block the event loop when the reader of
+ * the logs stops reading. Lines are written asynchronously instead, and dropped beyond a limit.
  */
 const openOutput = () => pino.destination({
   dest: STDOUT_FD, sync: false, maxLength: MAX_BUFFERED_BYTES,
@@ -36,7 +36,7 @@
   return output;
 };
 
-/** Lines that were dropped so far, as their reader was too slow. */
+/** Number of lines dropped so far because the reader was too slow. */
 export const countDroppedLines = (): number => droppedLines;
 
 /**
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -8,7 +8,7 @@
 const DELAY_RESOLUTION_MS = 10;
 
 /**
- * What a process measures about itself.
+ * Metrics of an entry process.
  *
  * @example
  * metrics.goodput.inc({ tier: 'door' });
@@ -51,7 +51,7 @@
     this.delay.enable();
   }
 
-  /** Text for a scrape. */
+  /** Formats all metrics for a scrape. */
   async format(): Promise<string> {
     this.loopDelay.set(this.delay.percentile(99) / NANOSECONDS_PER_SECOND);
     this.delay.reset();
--- a/src/telemetry/tracing.ts
+++ b/src/telemetry/tracing.ts
@@ -6,10 +6,10 @@
 import { BasicTracerProvider, BatchSpanProcessor } from '@opentelemetry/sdk-trace-base';
 import { FileSpanExporter } from './fileSpanExporter';
 
-/** Headers that carry the trace context across VMs, as W3C Trace Context names them. */
+/** Headers that propagate the trace context between VMs, as defined by W3C Trace Context. */
 export type TraceHeaders = Record<string, string>;
 
-/** What a span is about. */
+/** Name of a span: the step of a request that it measures. */
 export type HopName = 'caller' | 'claim' | 'owner' | 'engine' | 'service';
 
 /** Attributes of a span. */
@@ -19,8 +19,8 @@
 const MAX_QUEUED_SPANS = 8_192;
 
 /**
- * Traces requests hop by hop. Without a file, spans are not recorded, but the context still
- * travels.
+ * Traces requests hop by hop. Without a file, spans are not recorded, but the context is still
+ * propagated.
  *
  * @example
  * const tracer = new HopTracer('entry/e1', 'traces.ndjson');
@@ -38,7 +38,7 @@
     this.provider = new BasicTracerProvider({ spanProcessors: [processor] });
   }
 
-  /** Reads the context that came with a request. */
+  /** Reads the trace context of a request. */
   readContext(headers: Readonly<Record<string, unknown>>): Context {
     return this.propagator.extract(ROOT_CONTEXT, headers, {
       get: (carrier, key) => {
@@ -49,7 +49,7 @@
     });
   }
 
-  /** Headers that carry a context on. */
+  /** Formats a trace context as headers. */
   formatHeaders(from: Context): TraceHeaders {
     const headers: TraceHeaders = {};
     this.propagator.inject(from, headers, {
@@ -60,7 +60,7 @@
     return headers;
   }
 
-  /** Begins a span under a context, and the context for what lies below it. */
+  /** Starts a span; returns it and the context for its child spans. */
   startHop(
     hop: HopName,
     parent: Context,
@@ -73,13 +73,13 @@
     return { span, childContext: trace.setSpan(parent, span) };
   }
 
-  /** Writes what is left and stops. */
+  /** Exports the remaining spans and stops. */
   async close(): Promise<void> {
     await this.provider?.shutdown();
   }
 }
 
-/** Ends a span that went wrong. */
+/** Ends a span with an error. */
 export const failHop = (span: Span, message: string): void => {
   span.setStatus({ code: SpanStatusCode.ERROR, message });
   span.end();
--- a/src/utils/canonicalJson.ts
+++ b/src/utils/canonicalJson.ts
@@ -11,7 +11,7 @@
 };
 
 /**
- * Writes JSON with sorted keys, so that equal documents give equal text.
+ * Formats JSON with sorted keys, so that equal documents have equal text.
  *
  * @example
  * formatCanonicalJson({ b: 1, a: 2 }); // '{"a":2,"b":1}'
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,10 +1,10 @@
-/** Monotonic time in milliseconds. Leases and deadlines use nothing else. */
+/** Monotonic time in milliseconds, the only time used for leases and deadlines. */
 export interface Clock {
   readonly now: () => number;
 }
 
 /**
- * The machine's monotonic clock, which a change of the wall clock does not move.
+ * The monotonic clock of the machine, which changes of the wall clock do not affect.
  *
  * @example
  * const startedAt = systemClock.now();
@@ -13,18 +13,18 @@
   now: () => performance.now(),
 };
 
-/** Start of this process by the system clock, which counts from `performance.timeOrigin`. */
+/** Start of this process on `systemClock`, which counts from `performance.timeOrigin`. */
 export const PROCESS_START = 0;
 
-/** Largest drift between the clocks of one machine that is no sign of a suspension. */
+/** Largest change of the offset between the two clocks that is not taken for a suspension. */
 const MAX_CLOCK_DRIFT_MS = 100;
 
 /**
- * Tells whether the machine may have been suspended.
+ * Detects that the machine may have been suspended.
  *
- * Guards leases: while a VM is suspended its monotonic clock stands still, so a lease that ended
- * long ago looks valid when it wakes. The time of day goes on, so the difference of the two clocks
- * jumps. A time of day that was merely set looks the same; it costs one renewal of each lease.
+ * The monotonic clock of a VM stands still during a suspension, so a lease that expired long ago
+ * looks valid when the VM resumes. The wall clock continues, so the offset between the two clocks
+ * jumps. Setting the wall clock has the same effect, which costs one renewal of each lease.
  *
  * @example
  * const epoch = suspension.readEpoch(); // before asking for a lease
@@ -37,13 +37,13 @@
 
   constructor(
     private readonly clock: Clock = systemClock,
-    // eslint-disable-next-line no-restricted-globals -- compared with the monotonic clock alone
+    // eslint-disable-next-line no-restricted-globals -- compared only with the monotonic clock
     private readonly readTimeOfDay: () => number = Date.now,
   ) {
     this.offset = this.measureOffset();
   }
 
-  /** A number that grows each time the machine may have been suspended. */
+  /** A number that increases each time the machine may have been suspended. */
   readEpoch(): number {
     const offset = this.measureOffset();
     if (Math.abs(offset - this.offset) > MAX_CLOCK_DRIFT_MS) this.epoch += 1;
--- a/src/utils/heldCalls.ts
+++ b/src/utils/heldCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that wait for something to change.
+ * Calls that wait for a change, such as those of long polling.
  *
  * @example
  * await held.hold(250); // until `held.release()`, 250 ms at most
@@ -9,12 +9,12 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  /** Calls that wait. */
+  /** Number of waiting calls. */
   get size(): number {
     return this.heldCalls.size;
   }
 
-  /** Resolves when something changed, or after the time. */
+  /** Resolves at the next release, or after the given time in milliseconds. */
   hold(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const call = { end: (): void => undefined };
@@ -28,14 +28,14 @@
     });
   }
 
-  /** Lets all go that wait. */
+  /** Resolves all waiting calls. */
   release(): void {
     clearTimeout(this.timer);
     this.timer = undefined;
     [...this.heldCalls].forEach(({ end }) => end());
   }
 
-  /** Lets all go within a time, once for all that changes until then. */
+  /** Resolves all waiting calls within a time; all changes until then share one release. */
   releaseWithin(ms: number): void {
     this.timer ??= setTimeout(() => this.release(), ms);
   }
--- a/src/utils/immediateQueue.ts
+++ b/src/utils/immediateQueue.ts
@@ -1,24 +1,24 @@
 import { ImmediateTask } from './immediateTask';
 
-/** Pieces of work that are done in one turn of the loop, at most. */
+/** Largest number of calls that are resolved in one iteration of the event loop. */
 const BATCH_SIZE = 8;
 
 /**
- * Spreads work that comes all at once over turns of the loop, so that timers and what comes from
- * other processes are served in between.
+ * Spreads a burst of work over iterations of the event loop, so that timers and incoming messages
+ * are handled in between.
  *
- * Guards a process that others take for dead when it is silent: one that answers hundreds at once
- * sends no heartbeat until it is through. It shows as a leader that is replaced with each change.
+ * Without it, a process that answers hundreds of requests at once sends no heartbeats meanwhile,
+ * and others take it for dead: the leader would be replaced after each change.
  *
  * @example
- * await turns.wait(); // then do one piece of the work
+ * await queue.wait(); // then do one piece of the work
  */
 export class ImmediateQueue {
   private readonly resolvers: (() => void)[] = [];
 
   private readonly batchTask = new ImmediateTask(() => this.runBatch());
 
-  /** Resolves when it is the caller's turn, in the order of the calls. */
+  /** Resolves the calls in order, a limited number in each iteration. */
   wait(): Promise<void> {
     return new Promise((resolve) => {
       this.resolvers.push(resolve);
--- a/src/utils/immediateTask.ts
+++ b/src/utils/immediateTask.ts
@@ -1,8 +1,8 @@
 /**
- * Work that is done once in the next turn of the loop, however often it is asked for until then.
+ * A task that runs once in the next iteration of the event loop, however often it is scheduled.
  *
  * @example
- * const flushing = new TurnTask(() => this.flush());
+ * const flushing = new ImmediateTask(() => this.flush());
  * flushing.schedule();
  * flushing.schedule(); // flushes once
  */
@@ -11,7 +11,7 @@
 
   constructor(private readonly run: () => void) {}
 
-  /** Has the work done in the next turn. */
+  /** Schedules the task for the next iteration. */
   schedule(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
--- a/src/utils/noSchemas.ts
+++ b/src/utils/noSchemas.ts
@@ -1,12 +1,12 @@
 import type { FastifyServerOptions } from 'fastify';
 
 const refuseSchema = (): never => {
-  throw new Error('routes of this server have no schemas; check bodies with buildValidator');
+  throw new Error('routes of this server must not have schemas; validate bodies with buildValidator');
 };
 
 /**
- * Options of a server none of whose routes has a schema: the framework is kept from loading its own
- * schema compilers, for which callers would wait after a kill.
+ * Options of a server whose routes have no schemas. They keep the framework from loading its schema
+ * compilers, which would prolong the outage after a process was killed.
  */
 export const NO_SCHEMAS: Pick<FastifyServerOptions, 'schemaController'> = {
   schemaController: {
--- a/src/utils/operation.ts
+++ b/src/utils/operation.ts
@@ -1,9 +1,9 @@
 import { systemClock } from './clock';
 import type { Clock } from './clock';
 
-/** What an operation starts from. */
+/** Options of an operation. */
 export interface OperationOptions {
-  /** Milliseconds from now until the operation must have ended. */
+  /** Time from now until the deadline, in milliseconds. */
   readonly timeoutMs: number;
   readonly clock?: Clock;
   readonly signal?: AbortSignal;
@@ -12,8 +12,8 @@
 const MAX_STEPS = 32;
 
 /**
- * Carries the deadline, the abort signal and the steps of one piece of work through all layers,
- * so that no layer starts a timer of its own.
+ * Passes the deadline, the abort signal and the recorded steps of one piece of work through all
+ * layers, so that no layer needs a timer of its own.
  *
  * @example
  * const operation = new Operation({ timeoutMs: 500 });
@@ -41,31 +41,31 @@
       : this.controller.signal;
   }
 
-  /** Milliseconds until the deadline, never below zero. */
+  /** Time until the deadline, in milliseconds; never negative. */
   get remainingMs(): number {
     return Math.max(0, this.deadline - this.clock.now());
   }
 
-  /** Milliseconds since the operation began. */
+  /** Time since the operation began, in milliseconds. */
   get elapsedMs(): number {
     return this.clock.now() - this.startedAt;
   }
 
   /**
-   * Notes a step for the error that may follow; only the first 32 are kept.
+   * Records a step for the report of a later error; only the first 32 are kept.
    *
    * @example
-   * operation.note('asked owner e2');
+   * operation.recordStep('asked owner e2');
    */
   recordStep(step: string): void {
     if (this.steps.length < MAX_STEPS) this.steps.push(`${this.elapsedMs.toFixed(1)} ms: ${step}`);
   }
 
   /**
-   * Ends the operation early.
+   * Aborts the operation.
    *
    * @example
-   * request.raw.on('close', () => operation.cancel('caller gone'));
+   * request.raw.on('close', () => operation.cancel('caller disconnected'));
    */
   cancel(reason: string): void {
     this.recordStep(reason);
--- a/src/utils/packedText.ts
+++ b/src/utils/packedText.ts
@@ -1,22 +1,22 @@
 import { gunzipSync, gzipSync } from 'node:zlib';
 
-/** Bound on what a packed text may come to, in bytes: that of a message between processes. */
+/** Limit on an unpacked text, in bytes: the same as for a message between processes. */
 const MAX_UNPACKED_BYTES = 67_108_864;
 
-/** Characters of a text from which on it is packed: below, packing saves less than it costs. */
+/** Shortest text that is packed, in characters: with shorter ones, packing does not pay off. */
 const MIN_PACKED_LENGTH = 16_384;
 
 /**
- * Packs a text by gzip where it is large; a small one is better sent as it is.
+ * Compresses a large text with gzip; undefined for a small one, which is better sent as it is.
  *
  * @example
- * const packed = packLarge(document); // a tenth of a document of many routes; undefined of few
+ * const packed = packLarge(document); // undefined for a document of few routes
  */
 export const packLarge = (text: string): Buffer | undefined => (
   text.length < MIN_PACKED_LENGTH ? undefined : gzipSync(text));
 
 /**
- * Unpacks what `packLarge` made; throws for anything else, and beyond 64 MiB.
+ * Decompresses a result of `packLarge`; throws for other bytes and for more than 64 MiB of text.
  *
  * @example
  * const text = unpackText(bytes);
--- a/src/utils/rendezvous.ts
+++ b/src/utils/rendezvous.ts
@@ -5,7 +5,7 @@
   .digest('hex');
 
 /**
- * Ranks nodes for a key by rendezvous hashing: a node that goes moves only its own keys.
+ * Ranks nodes for a key by rendezvous hashing: removing a node moves only the keys of that node.
  *
  * @example
  * const [owner] = rankByRendezvous('pool:fast', ['a', 'b', 'c']);
--- a/src/utils/schemaFaults.ts
+++ b/src/utils/schemaFaults.ts
@@ -1,10 +1,10 @@
 import type { ErrorObject, ValidateFunction } from 'ajv';
 
-/** One thing that is wrong with a document. */
+/** A fault in a document. */
 export interface SchemaFault {
   /** JSON pointer to the field. */
   readonly path: string;
-  /** What was expected there, and the value that was found. */
+  /** What was expected, and the value that was found. */
   readonly message: string;
 }
 
@@ -28,7 +28,7 @@
 });
 
 /**
- * Lists every fault of a document by a compiled schema.
+ * Lists every fault of a document against a compiled schema.
  *
  * @example
  * listFaults(validateSettings, {}); // [{ path: '/', message: "must have required property …" }]
--- a/src/utils/schemaValidator.ts
+++ b/src/utils/schemaValidator.ts
@@ -3,13 +3,13 @@
 import { listFaults } from './schemaFaults';
 import type { SchemaFault } from './schemaFaults';
 
-/** How all schemas are compiled, at a start or ahead of it. */
+/** Options with which all schemas are compiled, at startup or ahead of time. */
 export const SCHEMA_OPTIONS: Options = {
   allErrors: true,
   verbose: true,
   useDefaults: true,
-  // The schemas are ours, and a test checks them: checking them again would take a third of the
-  // processor time of a process's start, and optimizing what is compiled once a tenth.
+  // A test checks the schemas. Checking them again, or optimizing code that is compiled only once,
+  // would slow down the start of each process.
   validateSchema: false,
   code: { optimize: false },
 };
@@ -19,8 +19,8 @@
 
 /**
  * Builds a function that lists every fault of a document against a JSON schema. The schema is
- * compiled when it is first used: a process starts without those of other roles, and reads its
- * first document after it has begun to listen.
+ * compiled on first use: a process never compiles schemas of other roles, and it starts to listen
+ * before it reads its first document.
  *
  * @example
  * const validate = buildValidator({ type: 'object', required: ['id'] });
--- a/src/utils/secretKey.ts
+++ b/src/utils/secretKey.ts
@@ -3,8 +3,8 @@
 const hashKey = (key: string): Buffer => createHash('sha256').update(key).digest();
 
 /**
- * Whether a key is the one behind any of the hashes. Every hash is compared, each in constant time,
- * so that the time tells nothing of which one came near.
+ * Whether a key matches any of the hashes. Every hash is compared, each in constant time, so that
+ * the duration reveals nothing about them.
  *
  * @example
  * if (!isKeyOf(key, account.keyHashes)) throw new BeechliftError('unknownKey', '…');
--- a/src/verify/records.ts
+++ b/src/verify/records.ts
@@ -1,17 +1,17 @@
 import { BeechliftError } from '../errors/beechliftError';
 import { buildValidator } from '../utils/schemaValidator';
 
-/** What a caller noted when it sent a request. */
+/** Record of a caller that sent a request. */
 export interface SentRecord {
   readonly kind: 'sent';
   readonly request: string;
-  /** Names the request over all its resends: client account and key, or the request itself. */
+  /** The same for all resends of a request: client account and key, or the request itself. */
   readonly identity: string;
-  /** Text by which engines know the request. */
+  /** Text that identifies the request in the records of engines. */
   readonly prompt: string;
 }
 
-/** What a caller noted when its answer was whole, or when it got none. */
+/** Record of a caller that received a complete answer, or that will receive none. */
 export interface AnswerRecord {
   readonly kind: 'answer';
   readonly request: string;
@@ -19,11 +19,11 @@
   readonly status: number;
   readonly run: 'notRun' | 'ran' | 'unknown' | '';
   readonly text: string;
-  /** The text that belongs to the request. */
+  /** Text of the correct answer to the request. */
   readonly expected: string;
 }
 
-/** What an engine noted when a stream was dispatched to it. */
+/** Record of an engine to which a stream was dispatched. */
 export interface DispatchRecord {
   readonly kind: 'dispatch';
   readonly engine: string;
@@ -31,7 +31,7 @@
   readonly prompt: string;
 }
 
-/** One line of a records file. */
+/** A line of a file of records. */
 export type VerifyRecord = SentRecord | AnswerRecord | DispatchRecord;
 
 const text = { type: 'string', maxLength: 1_000_000 };
@@ -74,16 +74,16 @@
   try {
     record = JSON.parse(line);
   } catch (cause) {
-    throw new BeechliftError('recordsInvalid', `line ${position + 1} is no JSON: ${(cause as Error).message}`);
+    throw new BeechliftError('recordsInvalid', `line ${position + 1} is not JSON: ${(cause as Error).message}`);
   }
   if (validate(record).length > 0) {
-    throw new BeechliftError('recordsInvalid', `line ${position + 1} is no record of kind sent, answer or dispatch`);
+    throw new BeechliftError('recordsInvalid', `line ${position + 1} is not a valid record of kind sent, answer or dispatch`);
   }
   return record as VerifyRecord;
 };
 
 /**
- * Reads records, one JSON document a line.
+ * Parses records, one JSON document per line.
  *
  * @example
  * const records = parseRecords(readTextFile('records.ndjson'));
--- a/src/verify/verifyRecords.ts
+++ b/src/verify/verifyRecords.ts
@@ -2,10 +2,10 @@
   AnswerRecord, DispatchRecord, SentRecord, VerifyRecord,
 } from './records';
 
-/** What must always hold, as far as callers and engines can see it. */
+/** Invariants that callers and engines can observe. */
 export type Invariant = 'dispatchedOnce' | 'wholeAndOwn' | 'notRunIsTrue' | 'sameForResend' | 'answered';
 
-/** An invariant that does not hold, with the story of the request. */
+/** A violated invariant, with the events of the request. */
 export interface InvariantViolation {
   readonly invariant: Invariant;
   readonly identity: string;
@@ -13,7 +13,7 @@
   readonly story: readonly string[];
 }
 
-/** All that is known of one identity. */
+/** All records of one identity. */
 interface RequestHistory {
   readonly identity: string;
   readonly sent: readonly SentRecord[];
@@ -33,15 +33,16 @@
     return streams.size > 1 ? `dispatched ${streams.size} times` : undefined;
   },
   wholeAndOwn: ({ answers }) => {
-    const wrongAnswer = answers.find((answer) => isComplete(answer) && answer.text !== answer.expected);
-    return wrongAnswer && `answer of ${wrongAnswer.request} is not whole or belongs to another`;
+    const wrongAnswer = answers
+      .find((answer) => isComplete(answer) && answer.text !== answer.expected);
+    return wrongAnswer && `answer of ${wrongAnswer.request} is incomplete or belongs to another request`;
   },
   notRunIsTrue: ({ answers, dispatches }) => {
     const isUnanswered = !answers.some(isComplete);
     const wasReportedNotRun = answers.some(({ run }) => run === 'notRun');
     const isLatestNotRun = answers.at(-1)?.run === 'notRun';
     return wasReportedNotRun && isLatestNotRun && isUnanswered && dispatches.length > 0
-      ? 'told "not run", but an engine has it'
+      ? 'reported as not run, but dispatched to an engine'
       : undefined;
   },
   sameForResend: ({ answers }) => {
@@ -51,7 +52,7 @@
   answered: ({ sent, answers }) => {
     const answeredRequests = new Set(answers.map(({ request }) => request));
     const unanswered = sent.filter(({ request }) => !answeredRequests.has(request));
-    return unanswered.length > 0 ? `${unanswered.length} sent and never answered` : undefined;
+    return unanswered.length > 0 ? `${unanswered.length} sent but never answered` : undefined;
   },
 };
 
@@ -77,7 +78,8 @@
 ];
 
 /**
- * Lists every broken invariant in what callers and engines recorded; our own logs are not asked.
+ * Lists every violated invariant in the records of callers and engines. The logs of
+ * the system itself are not used.
  *
  * @example
  * const broken = verifyRecords(parseRecords(text));
--- a/src/wire/channelOptions.ts
+++ b/src/wire/channelOptions.ts
@@ -1,10 +1,9 @@
 import type { ChannelOptions } from '@grpc/grpc-js';
 
 /**
- * How often the ends of a connection ping one another. `calm` is for connections whose users see
- * for themselves, by a bound on each answer, that the other end has gone: there pings only find
- * connections that nobody uses any more. Each ping wakes both processes, also where hundreds of
- * entries stand by.
+ * How often the two ends of a connection ping each other. `calm` is for connections on which a time
+ * limit for each reply detects a dead peer: there, pings only find unused connections. Each ping
+ * costs processor time at both ends, which adds up when hundreds of entries are idle.
  */
 export type KeepaliveMode = 'brisk' | 'calm';
 
@@ -13,7 +12,7 @@
   calm: { 'grpc.keepalive_time_ms': 10_000, 'grpc.keepalive_timeout_ms': 3_000 },
 };
 
-/** Options that both ends share: nothing of the library's balancing or retrying. */
+/** Options of both ends. They turn off the load balancing and the retries of the library. */
 const SHARED_OPTIONS: ChannelOptions = {
   'grpc.keepalive_permit_without_calls': 1,
   'grpc.use_local_subchannel_pool': 1,
--- a/src/wire/linkTable.ts
+++ b/src/wire/linkTable.ts
@@ -4,7 +4,7 @@
 import type { ClientConstructor } from './rpcLink';
 
 /**
- * Links by address, opened when first used.
+ * Links to peers by address, each opened on first use.
  *
  * @example
  * const peers = new LinkTable(PeerClient);
@@ -18,7 +18,7 @@
     private readonly keepaliveMode: KeepaliveMode = 'brisk',
   ) {}
 
-  /** The link to an address. */
+  /** Finds the link to an address, or opens it. */
   find(address: string): RpcLink<Stub> {
     const existing = this.links.get(address);
     if (existing) return existing;
@@ -27,7 +27,7 @@
     return link;
   }
 
-  /** Closes links to addresses that are not in use any more. */
+  /** Closes the links to all other addresses. */
   keep(addresses: readonly string[]): void {
     [...this.links.keys()]
       .filter((address) => !addresses.includes(address))
--- a/src/wire/peerError.ts
+++ b/src/wire/peerError.ts
@@ -4,8 +4,8 @@
 const CODED_DETAILS = /^(\d{4}) (\w+): ([\s\S]*)$/;
 
 /**
- * Turns what a call threw into an error with a code: the code that the peer named, or the given one
- * when the call itself failed.
+ * Converts the error of a call to one with a result code: the code that the peer sent, or
+ * `fallback` if the call itself failed.
  *
  * @example
  * .catch((thrown) => { throw toPeerError(thrown, 'noQuorum'); });
--- a/src/wire/rpcLink.ts
+++ b/src/wire/rpcLink.ts
@@ -9,7 +9,7 @@
 import { buildChannelOptions } from './channelOptions';
 import type { KeepaliveMode } from './channelOptions';
 
-/** Makes a client for an address. */
+/** Constructor of a generated client. */
 export type ClientConstructor<Stub extends Client> = new (
   address: string,
   channelCredentials: ChannelCredentials,
@@ -28,38 +28,37 @@
 export type StreamMethod<Message, Reply> = () => ClientDuplexStream<Message, Reply>;
 
 /**
- * What is done with what comes over a stream; `close` is called once, with what broke it, which may
- * be what `take` threw.
+ * Handlers of a stream: `take` handles each message, `close` is called once when the stream ends.
+ * Its argument is the error that broke the stream, which may be one that `take` threw.
  */
 export interface StreamListener<Reply> {
   readonly take: (reply: Reply) => void;
   readonly close: (error: Error | undefined) => void;
 }
 
-/** The near end of a stream. */
+/** Client side of a stream. */
 export interface ClientStream<Message> {
   readonly write: (message: Message) => void;
-  /** Ends it without a further word to its listener. */
+  /** Ends the stream without calling its listener. */
   readonly cancel: () => void;
-  /** Its connection may have gone silent: what is opened next uses a fresh one. */
+  /** Replaces the connection, which may be dead: later calls and streams use a new one. */
   readonly suspect: () => void;
 }
 
-/** A connection to the peer, and how many calls and streams are under way on it. */
+/** A connection to the peer, and the number of calls and streams that are open on it. */
 interface PeerConnection<Stub> {
   readonly stub: Stub;
   activeCalls: number;
 }
 
-/** Statuses that tell of the connection and not of the peer. */
-const CONNECTION_FAILURE_STATUSES: readonly number[] = [status.DEADLINE_EXCEEDED, status.UNAVAILABLE];
+/** Statuses that indicate a failed connection rather than an error of the peer. */
+const CONNECTION_ERRORS: readonly number[] = [status.DEADLINE_EXCEEDED, status.UNAVAILABLE];
 
 /**
- * One peer over gRPC.
+ * Calls one peer over gRPC.
  *
- * Guards against a connection that goes silent for good while new ones work: pings find it, and
- * after a call that got no answer in its time the next call goes over a fresh connection, not the
- * suspect one.
+ * A connection may stop carrying data for good while new ones work. Pings detect this, and after a
+ * call that was not answered in time, the next call uses a new connection.
  *
  * @example
  * const link = new RpcLink(PeerClient, '10.0.0.2:7100');
@@ -68,7 +67,7 @@
 export class RpcLink<Stub extends Client> {
   private current: PeerConnection<Stub>;
 
-  /** Those that nothing new goes over, while something is under way on them. */
+  /** Replaced connections on which calls or streams are still open. */
   private readonly replacedConnections = new Set<PeerConnection<Stub>>();
 
   constructor(
@@ -79,7 +78,7 @@
     this.current = this.open();
   }
 
-  /** Calls a method; fails when the operation's deadline passes or it is cancelled. */
+  /** Calls a method; rejects when the operation is cancelled or its deadline passes. */
   call<Request, Reply>(
     pickMethod: (stub: Stub) => UnaryMethod<Request, Reply>,
     request: Request,
@@ -90,11 +89,11 @@
     Object.entries(headers).forEach(([key, value]) => metadata.set(key, value));
     const connection = this.acquire();
     return new Promise((resolve, reject) => {
-      // eslint-disable-next-line no-restricted-globals -- the library turns it into a span at once
+      // eslint-disable-next-line no-restricted-globals -- the library converts it to a duration
       const deadline = Date.now() + operation.remainingMs;
       const method = pickMethod(connection.stub);
       const call = method.call(connection.stub, request, metadata, { deadline }, (error, reply) => {
-        if (error && CONNECTION_FAILURE_STATUSES.includes(error.code)) this.replaceConnection(connection);
+        if (error && CONNECTION_ERRORS.includes(error.code)) this.replaceConnection(connection);
         this.release(connection);
         if (error) reject(error);
         else resolve(reply);
@@ -106,7 +105,7 @@
   }
 
   /**
-   * Opens a stream in both directions. After one that broke the next goes over a fresh connection.
+   * Opens a bidirectional stream. After a stream that broke, the next one uses a new connection.
    *
    * @example
    * const stream = link.openStream((stub) => stub.place.bind(stub), { take, close });
@@ -134,7 +133,7 @@
       try {
         take(reply);
       } catch (thrown) {
-        // Thrown in an event of the library, it would end the process.
+        // An error thrown in an event handler of the library would end the process.
         end(thrown as Error);
         call.cancel();
       }
@@ -179,10 +178,10 @@
   }
 
   /**
-   * Opens a fresh connection in place of one that gave no answer.
+   * Opens a new connection in place of one that gave no answer.
    *
-   * Guards what is under way on the old one, whose peer may only be slow: the library ends it with
-   * the next ping after a close, so the connection is closed once nothing uses it.
+   * The old one stays open until its last call or stream has ended: its peer may only be slow, and
+   * the library would abort open calls with the next ping after a close.
    */
   private replaceConnection(connection: PeerConnection<Stub>): void {
     if (this.current !== connection) return;
--- a/src/wire/rpcServer.ts
+++ b/src/wire/rpcServer.ts
@@ -7,11 +7,11 @@
 import { buildChannelOptions } from './channelOptions';
 import type { KeepaliveMode } from './channelOptions';
 
-/** What a handler may know of its call beside the request. */
+/** Context of a call, besides its request. */
 export interface CallContext {
   /** Metadata of the call as plain headers. */
   readonly headers: Readonly<Record<string, unknown>>;
-  /** Runs when the other end gave the call up before it was answered. */
+  /** Calls the listener if the client cancels the call before it is answered. */
   readonly onCancel: (listener: () => void) => void;
 }
 
@@ -21,7 +21,7 @@
 };
 
 /**
- * Turns an async function into a gRPC handler; whatever it throws becomes a status that names the
+ * Makes a gRPC handler from a function; an error that it throws becomes a status with the result
  * code.
  *
  * @example
@@ -33,7 +33,7 @@
   let isAnswered = false;
   const context: CallContext = {
     headers: call.metadata.getMap(),
-    // The library also reports calls as cancelled that were answered and are over.
+    // The library also emits the event for calls that have been answered.
     onCancel: (listener) => {
       if (call.cancelled) listener();
       else {
@@ -52,21 +52,21 @@
     .catch((thrown: unknown) => callback(toStatus(thrown)));
 };
 
-/** The near end of a stream in both directions. */
+/** Server side of a bidirectional stream. */
 export interface ServerStream<Message, Reply> {
   readonly send: (reply: Reply) => void;
   readonly end: () => void;
-  /** Called for each message, and once when the stream is over. */
+  /** Sets the handlers of the stream. */
   readonly listen: (handlers: StreamHandlers<Message>) => void;
 }
 
-/** What is done with what comes over a stream. */
+/** Handlers of a stream: `take` for each message, `close` once when the stream has ended. */
 export interface StreamHandlers<Message> {
   readonly take: (message: Message) => void;
   readonly close: () => void;
 }
 
-/** Hears of a failure that ended a stream, beside the status that goes to the other end. */
+/** Receives an error of a stream's handlers, in addition to the status that the client receives. */
 export type FailureListener = (error: Error) => void;
 
 const attachHandlers = <Message, Reply>(
@@ -85,7 +85,7 @@
     }
     call.end();
   };
-  // What is thrown in an event of the library would end the process.
+  // An error thrown in an event handler of the library would end the process.
   const fail = (thrown: unknown): void => {
     reportFailure(toBeechliftError(thrown));
     call.emit('error', toStatus(thrown));
@@ -102,11 +102,11 @@
 };
 
 /**
- * Turns a function into a gRPC handler of a stream; what it throws when a stream opens, or when a
- * message is taken in, becomes a status that names the code.
+ * Makes a gRPC handler of a stream. An error that is thrown while the stream opens, or while a
+ * message is handled, becomes a status with the result code.
  *
  * @example
- * const handlers = { place: handleStream((stream) => stream.listen(openLine(stream))) };
+ * const handlers = { place: handleStream((stream) => stream.listen(openStream(stream))) };
  */
 export const handleStream = <Message, Reply>(
   open: (stream: ServerStream<Message, Reply>) => void,
@@ -126,7 +126,7 @@
 };
 
 /**
- * Serves a gRPC service on an address.
+ * Serves gRPC services on an address.
  *
  * @example
  * const server = new RpcServer();
@@ -145,7 +145,7 @@
     this.server.addService(service, handlers);
   }
 
-  /** Binds the address and returns it with the port that was given. */
+  /** Binds the address and returns it with the assigned port. */
   listen(address: string): Promise<string> {
     return new Promise((resolve, reject) => {
       this.server.bindAsync(address, ServerCredentials.createInsecure(), (error, port) => {
@@ -155,7 +155,7 @@
     });
   }
 
-  /** Ends all calls and stops. */
+  /** Aborts all calls and stops the server. */
   close(): void {
     this.server.forceShutdown();
   }
--- a/src/wiring.ts
+++ b/src/wiring.ts
@@ -1,4 +1,4 @@
-/** The one module that puts the parts of a process together. */
+/** Composition root: creates the parts of each process and connects them. */
 import { startControl } from './control/controlProcess';
 import type { RunningControl } from './control/controlProcess';
 import type { PolicySettings } from './core/schedule/scheduleTypes';
@@ -10,12 +10,12 @@
 import type { ControlSettings, EntrySettings } from './settings/settings';
 import { makeLogger } from './telemetry/logger';
 
-/** A process with its HTTP server. */
+/** A running process with its HTTP server. */
 export interface WiredProcess<Running> {
   readonly running: Running;
-  /** Where its HTTP server listens. */
+  /** Address of its HTTP server. */
   readonly address: string;
-  /** Ends without cutting anything off. */
+  /** Waits for open requests, then stops. */
   readonly shutDown: () => Promise<void>;
 }
 
@@ -34,7 +34,7 @@
   const app = makeCallerServer(running.api);
   const address = await listenOn(app, settings.callerAddress);
   running.setCallerAddress(address);
-  logger.info('callers are served', { address });
+  logger.info('listening for callers', { address });
   return {
     running,
     address,
@@ -42,7 +42,7 @@
       await running.drain();
       await app.close();
       await running.stop();
-      logger.info('entry ended');
+      logger.info('entry stopped');
     },
   };
 };
@@ -61,14 +61,14 @@
   const running = await startControl({ settings, logger, failStorage });
   const app = makeAdminServer(running);
   const address = await listenOn(app, settings.adminAddress);
-  logger.info('operators are served', { address });
+  logger.info('listening for operators', { address });
   return {
     running,
     address,
     shutDown: async () => {
       await app.close();
       await running.stop();
-      logger.info('control ended');
+      logger.info('control replica stopped');
     },
   };
 };
