--- a/tests/disk/record-file.spec.ts
+++ b/tests/disk/record-file.spec.ts
@@ -23,12 +23,12 @@
 
 describe('a record file', () => {
   /*
-   * A VM loses power while a record is written. After its restart every answered record must be
-   * there, and the one that was not answered may be there or not, but never in part.
+   * A VM loses power while a record is written. After the restart every acknowledged record must be
+   * present. The one that was not acknowledged may be present or missing, but never partial.
    */
   it.each<[FailurePoint, number]>([
     ['beforeAppend', 0], ['tornAppend', 3], ['tornAppend', 400], ['beforeSync', 0], ['beforeSync', 400], ['afterSync', 0],
-  ])('should hold all answered records after power loss at %s with %i torn bytes', async (point, tornBytes) => {
+  ])('should hold all acknowledged records after power loss at %s with %i torn bytes', async (point, tornBytes) => {
     const { files, file } = await fillFile();
     files.failAt = point;
     await expect(file.append([{ n: 3 }])).rejects.toMatchObject({ code: 'storageFailed' });
@@ -41,8 +41,8 @@
   });
 
   /*
-   * Power is lost while the file is rewritten shorter. The restart must find the old content or
-   * the new one, whole.
+   * Power is lost while the file is replaced by a shorter one. After the restart the file must have
+   * either the old or the new content, complete.
    */
   it.each<FailurePoint>(['beforeAppend', 'tornAppend', 'beforeSync', 'afterSync', 'beforeRename', 'afterRename'])('should hold the old or the new content after power loss at %s of a rewrite', async (point) => {
     const { files, file } = await fillFile();
@@ -54,7 +54,8 @@
   });
 
   /*
-   * A file was rewritten, and old content is back after a power loss: the new name was not synced.
+   * A rewritten file had its old content again after a power loss, because the rename was not
+   * synced.
    */
   it('should hold the new content once a rewrite is done', async () => {
     const { files, file } = await fillFile();
@@ -64,20 +65,20 @@
   });
 
   /*
-   * A bit flips in a record that was answered long ago. Cutting it and all after it would lose
+   * A bit flips in a record that was acknowledged long ago. Cutting off the file there would lose
    * accepted manifests silently, so the replica must refuse to start.
    */
-  it('should refuse a damaged record that sound ones follow', async () => {
+  it('should refuse a corrupt record that is followed by valid ones', async () => {
     const { files } = await fillFile();
     files.corruptByte(PATH, 12);
     await expect(openFile(files)).rejects.toMatchObject({ code: 'logCorrupt' });
   });
 
   /*
-   * The disk is full. Two appends share one write; the first caller hears of the failure, the
-   * second was told that its record is safe, as nothing was left to write for it.
+   * The disk is full and two appends share one write. The first append failed, but the second one
+   * succeeded because nothing was left to write for it.
    */
-  it('should tell every caller of a write that failed', async () => {
+  it('should reject all appends that share or follow a failed write', async () => {
     const { files, file } = await fillFile();
     files.isFull = true;
     const results = await Promise.allSettled([file.append([{ n: 3 }]), file.append([{ n: 4 }])]);
@@ -87,10 +88,10 @@
   });
 
   /*
-   * A claim is promised while the file of claims is being rewritten. It was answered, and was in
-   * neither the old file nor the new.
+   * A claim is promised while the file of claims is rewritten. The promise was acknowledged, but
+   * stored in neither the old nor the new file.
    */
-  it('should not lose what is appended while it is rewritten', async () => {
+  it('should not lose records that are appended during a rewrite', async () => {
     const { files, file } = await fillFile();
     const replacement = [{ n: 7 }];
     const first = file.append([{ n: 3 }]);
@@ -102,9 +103,9 @@
     expect((await openFile(files)).records).toContainEqual({ n: 8 });
   });
 
-  // A process is killed while it syncs and starts again; it acknowledges what its file holds, its
-  // machine loses power, and what it acknowledged is gone.
-  it('should hold what it found when it was opened, after a power loss', async () => {
+  // A process is killed during a sync and restarts. It acknowledges the records of its file, then
+  // its machine loses power, and the acknowledged records are lost.
+  it('should not lose records found on opening in a power loss', async () => {
     const { files, file } = await fillFile();
     files.failAt = 'beforeSync';
     await expect(file.append([{ n: 3 }])).rejects.toMatchObject({ code: 'storageFailed' });
@@ -115,9 +116,9 @@
     expect((await openFile(files)).records).toEqual(records);
   });
 
-  // Power is lost while several records are written; of the two writes that they take the first is
-  // missing and the second is there, and the replica refuses to start ever after.
-  it('should cut a batch off whose beginning is missing', async () => {
+  // Power is lost while several records are written with two writes. The first is missing and the
+  // second is present, so that the replica refused to start from then on.
+  it('should cut off a batch whose beginning is missing', async () => {
     const files = new PowerLossFileSystem();
     files.isSyncImmediate = true;
     const file = new RecordFile(files, PATH);
--- a/tests/docs/pages.spec.ts
+++ b/tests/docs/pages.spec.ts
@@ -15,7 +15,7 @@
     expect(new Set(numbers).size).toBe(numbers.length);
   });
 
-  it.each(['kiosks', 'registry'])('should hold sound settings and a sound manifest for %s', (site) => {
+  it.each(['kiosks', 'registry'])('should hold valid settings and a valid manifest for %s', (site) => {
     const read = (name: string) => readFileSync(`examples/${site}/${name}`, 'utf8');
     expect(checkManifest(read('manifest.json')).faults).toEqual([]);
     const entries = [1, 2, 3, 4, 5, 6].map((vm) => parseEntrySettings(read(`entry-${vm}.jsonc`)));
--- a/tests/http/closing-server.spec.ts
+++ b/tests/http/closing-server.spec.ts
@@ -9,7 +9,7 @@
 import { makeHttpServer } from '../../src/http/httpServer';
 
 const CLOSE_LIMIT_MS = 1_000;
-/** More than is on its way at once to a caller that does not read. */
+/** More than the buffers of a connection hold while the caller does not read. */
 const LARGE_ANSWER_BYTES = 16_000_000;
 
 describe('a server that closes', () => {
@@ -28,8 +28,8 @@
     await app.listen({ host: '127.0.0.1', port: 0 });
   });
 
-  // A caller that had connected and sent nothing held the end of the process up, until it left.
-  it('should not wait for a connection that has brought nothing', async () => {
+  // A caller that had connected and sent nothing delayed the shutdown until it disconnected.
+  it('should not wait for a connection that has sent nothing', async () => {
     const socket = await open();
     const startedAt = performance.now();
     const closed = app.close();
@@ -38,8 +38,8 @@
     expect(performance.now() - startedAt).toBeLessThan(CLOSE_LIMIT_MS);
   });
 
-  // A connection whose answer was ended counted as idle, though bytes of it still waited.
-  it('should write the answers to the end that wait for a slow reader', async () => {
+  // A connection whose response had ended counted as idle although part of it was not written yet.
+  it('should write responses completely to a slow reader', async () => {
     const socket = await open();
     socket.write('GET /long HTTP/1.1\r\nhost: a\r\n\r\n');
     await pause(CLOSE_LIMIT_MS / 4);
--- a/tests/verify/verify-records.spec.ts
+++ b/tests/verify/verify-records.spec.ts
@@ -16,7 +16,7 @@
   verifyRecords(records).map(({ invariant }) => invariant));
 
 describe('the check of records', () => {
-  it('should find nothing in a resend that was answered twice alike', () => {
+  it('should find no violation in a request that was resent and answered', () => {
     const records = [makeSent('r1'), dispatch('s1'), answer('r1', { status: 0, run: 'unknown' }), makeSent('r2'), answer('r2')];
     expect(listBroken(records)).toEqual([]);
   });
@@ -31,7 +31,7 @@
     expect(listBroken(records)).toContain(invariant);
   });
 
-  it('should name the line that is no record', () => {
+  it('should name the line that is not a record', () => {
     expect(() => parseRecords('{"kind":"sent"}')).toThrow(/line 1/);
     expect(() => parseRecords(`${JSON.stringify(makeSent('r1'))}\nx`)).toThrow(/line 2/);
   });
--- a/tests/wire/failing-listeners.spec.ts
+++ b/tests/wire/failing-listeners.spec.ts
@@ -15,20 +15,20 @@
 };
 const DECISIONS: PlaceDecisions = { acknowledged: 1, replies: [] };
 const MALFORMED_MESSAGE = Buffer.from([0x0a, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01]);
-/** Long enough for a message there and back. */
+/** Long enough for a message and its reply. */
 const ROUND_TRIP_MS = 200;
 
 const failNow = (): never => {
   throw new Error('cannot take this in');
 };
 
-/** Errors that would have ended the process. */
+/** Uncaught errors, which would have ended the process. */
 const uncaught: Error[] = [];
 const recordUncaught = (error: Error): void => {
   uncaught.push(error);
 };
 
-/** A stream whose messages are no records at all. */
+/** Sends a message that cannot be decoded; returns the status message that ends the stream. */
 const sendMalformed = async (address: string): Promise<string> => {
   const client = new Client(address, credentials.createInsecure());
   const call = client.makeBidiStreamRequest<Buffer, Buffer>(
@@ -84,9 +84,9 @@
     return link.openStream<PlaceNews, PlaceDecisions>((stub) => stub.place.bind(stub), listener);
   };
 
-  // All entries of a site lost their connections at once, as a message that could not be taken in
-  // ended the process of the leader.
-  it('should end with a status that names the failure, and not the process that serves it', async () => {
+  // All entries of a site lost their connections at once, because an error while a message was
+  // handled ended the process of the leader.
+  it('should end with a status that names the failure, without ending the server process', async () => {
     const close = vi.fn<(error: Error | undefined) => void>();
     const stream = await open(failNow, { take: () => undefined, close });
     stream.write(MESSAGE);
@@ -95,8 +95,8 @@
     expect(uncaught).toEqual([]);
   });
 
-  // An entry ended with all its callers' connections, as it could not take an answer in.
-  it('should tell its owner, and not end the process that opened it', async () => {
+  // An error while a reply was handled ended an entry with the connections of all its callers.
+  it('should report the failure to its listener, without ending the client process', async () => {
     const close = vi.fn<(error: Error | undefined) => void>();
     const stream = await open(() => undefined, { take: failNow, close });
     stream.write(MESSAGE);
@@ -107,8 +107,8 @@
     expect(uncaught).toEqual([]);
   });
 
-  // A record that was garbled on its way.
-  it('should refuse a record that cannot be decoded', async () => {
+  // A message was corrupted in transit.
+  it('should refuse a message that cannot be decoded', async () => {
     server.add(SiteService, {
       place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => (
         stream.listen({ take: () => stream.send(DECISIONS), close: () => undefined }))),
@@ -118,8 +118,8 @@
     expect(uncaught).toEqual([]);
   });
 
-  // Somebody speaks another protocol to the port of control.
-  it('should bear bytes that are no calls', async () => {
+  // A client of another protocol connects to the port of a control replica.
+  it('should withstand bytes that are not gRPC calls', async () => {
     const address = await server.listen('127.0.0.1:0');
     const [host = '', port] = address.split(':');
     const socket = connect({ host, port: Number(port) });
--- a/tests/wire/rpc-link.spec.ts
+++ b/tests/wire/rpc-link.spec.ts
@@ -12,7 +12,7 @@
 import type { ServerStream } from '../../src/wire/rpcServer';
 
 const ANSWER_MS = 300;
-/** Longer than a connection goes without a ping. */
+/** Longer than the interval between pings. */
 const SLOW_ANSWER_MS = 2_500;
 const CALL_TIMEOUT_MS = 10_000;
 
@@ -29,10 +29,11 @@
   });
 
   /*
-   * Entries gave a connection up for a late decision, and their question, on the same connection,
-   * ended within milliseconds: one seemed to end the other. It does not once a call has begun.
+   * Entries replaced a connection after a late decision, and their watch request on the same
+   * connection failed within milliseconds. Replacing a connection must not end a call that has
+   * begun.
    */
-  it('should let a call end that is under way on a connection which is given up', async () => {
+  it('should let a running call finish on a connection that is replaced', async () => {
     server.add(SiteService, {
       watch: handleUnary<WatchRequest, WatchReply>(async () => {
         await pause(ANSWER_MS);
@@ -59,9 +60,9 @@
     expect((await answer).leaseMs).toBe(7);
   });
 
-  // Guards calls that are answered late against a shorter call on the same connection: its time was
-  // over, and the connection was closed under all that waited on it.
-  it('should let calls end that are under way beside one whose time is over', async () => {
+  // A call with a short time limit timed out, and the connection was closed although other calls on
+  // it were still waiting for their replies.
+  it('should let running calls finish when another one on the same connection times out', async () => {
     server.add(SiteService, {
       watch: handleUnary<WatchRequest, WatchReply>(async () => {
         await pause(SLOW_ANSWER_MS);
