--- a/src/verify/records.ts
+++ b/src/verify/records.ts
@@ -1,7 +1,7 @@
 import { BeechliftError } from '../errors/beechliftError';
 import { buildValidator } from '../utils/schemaValidator';
 
-/** Record of a caller that sent a request. */
+/** Recorded by a caller when it sent a request. */
 export interface SentRecord {
   readonly kind: 'sent';
   readonly request: string;
@@ -11,7 +11,7 @@
   readonly prompt: string;
 }
 
-/** Record of a caller that received a complete answer, or that will receive none. */
+/** Recorded by a caller when its answer was complete, or when it got none. */
 export interface AnswerRecord {
   readonly kind: 'answer';
   readonly request: string;
@@ -23,7 +23,7 @@
   readonly expected: string;
 }
 
-/** Record of an engine to which a stream was dispatched. */
+/** Recorded by an engine when a stream was dispatched to it. */
 export interface DispatchRecord {
   readonly kind: 'dispatch';
   readonly engine: string;
--- a/src/verify/verifyRecords.ts
+++ b/src/verify/verifyRecords.ts
@@ -78,11 +78,11 @@
 ];
 
 /**
- * Lists every violated invariant in the records of callers and engines. The logs of
- * the system itself are not used.
+ * Lists every violated invariant in the records of callers and engines. The logs of the system
+ * itself are not used.
  *
  * @example
- * const broken = verifyRecords(parseRecords(text));
+ * const violations = verifyRecords(parseRecords(text));
  */
 export const verifyRecords = (records: readonly VerifyRecord[]): InvariantViolation[] => {
   const identities = new Set(records
