--- a/bench/benchEngine.ts
+++ b/bench/benchEngine.ts
@@ -5,13 +5,13 @@
 import { waitUntil } from '../tests/fakes/testSite';
 import type { TestSite } from '../tests/fakes/testSite';
 
-/** An engine stand-in in a process of its own. */
+/** An engine stand-in that runs in its own process. */
 export interface BenchEngine {
   readonly child: ChildProcess;
   readonly address: string;
 }
 
-/** Starts an engine and waits until the owner of its pool knows it. */
+/** Starts an engine and waits until the entry that owns its pool lists it. */
 export const startEngine = async (
   site: TestSite,
   options: Partial<FakeEngineOptions>,
@@ -32,6 +32,6 @@
     ...options,
   })], { stdio: 'ignore' });
   const id = options.id ?? 'g1';
-  await waitUntil(`engine ${id} is known`, async () => (await site.listWorkers()).includes(id));
+  await waitUntil(`engine ${id} is listed by the owner of its pool`, async () => (await site.listWorkers()).includes(id));
   return { child, address };
 };
--- a/bench/benchEntry.ts
+++ b/bench/benchEntry.ts
@@ -1,4 +1,7 @@
-/** An entry with a policy of the bench: POLICY SETTINGS. */
+/**
+ * Runs an entry with a scheduling policy of the benchmark. Arguments: the policy settings that
+ * differ from the defaults, as JSON, and the path of the settings file.
+ */
 import { DEFAULT_POLICY } from '../src/core/schedule/scheduleTables';
 import type { PolicySettings } from '../src/core/schedule/scheduleTypes';
 import { parseEntrySettings, readTextFile } from '../src/settings/loadSettings';
--- a/bench/counts.ts
+++ b/bench/counts.ts
@@ -1,6 +1,7 @@
 /**
- * Counts that are the same on every machine, with their bounds: work of a decision, bytes of the
- * messages that control sends again and again. `--check` compares them with bench/bounds.json.
+ * Prints counts that do not depend on the machine, with their upper bounds from bench/bounds.json:
+ * comparisons per scheduling decision, and bytes of messages that are sent repeatedly. With
+ * `--check`, the exit code is 1 if a count exceeds its bound.
  */
 import { readFileSync } from 'node:fs';
 import { handleScheduleEvent } from '../src/core/schedule/poolSchedule';
@@ -40,7 +41,7 @@
   },
 };
 
-/** Workers looked at for one decision, with so many workers in the pool. */
+/** Mean number of workers compared per decision in a pool of the given size. */
 const countComparisons = (workers: number): number => {
   const tables = makeScheduleTables('engines', config, [], 0);
   Array.from({ length: workers }).forEach((unused, position) => handleScheduleEvent(tables, {
@@ -167,6 +168,6 @@
 const exceeded = rows.filter(({ count, bound }) => count > bound);
 
 rows.forEach(({ name, count, bound }) => {
-  console.log(`${name}: ${count} (at most ${bound})${count > bound ? '  BROKEN' : ''}`);
+  console.log(`${name}: ${count} (at most ${bound})${count > bound ? '  EXCEEDED' : ''}`);
 });
 if (process.argv.includes('--check') && exceeded.length > 0) process.exitCode = 1;
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -1,8 +1,9 @@
 /**
- * Plays sheets of model engines through the decision core alone, in simulated time, with and
- * without one mechanism: `npm run bench:placement -- --off earlyRefusal --seeds 10`. A hypothesis
- * meets ten seeds in seconds before it meets processes. Its engines are a model: a request holds
- * its slot for a time that grows with its tokens, whatever runs beside it.
+ * Simulates workloads on model engines with and without single mechanisms:
+ * `npm run bench:placement -- --off earlyRefusal --seeds 10`. It runs only the placement functions,
+ * in simulated time, so that a change can be tried with ten seeds within seconds before it is
+ * measured with real processes. The engines are simplified: the time for which a request occupies
+ * its slot depends on its tokens but not on the other requests at the engine.
  */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -13,7 +14,10 @@
 
 const RUN_SECONDS = 34;
 
-/** Eight engines of speeds 1 to 5, long reports above captions above short tags. */
+/**
+ * Eight engines with slowness factors from 1 to 5. Long reports have the highest rank, followed by
+ * captions and short tags.
+ */
 const restorers: ModelWorkload = {
   slots: 14,
   slowness: [1, 1, 1, 1.8, 1.8, 1.8, 5, 5],
@@ -59,7 +63,7 @@
   ],
 };
 
-/** The same with answers that are worth a tenth when they are late. */
+/** The same workload, but late answers have a tenth of the worth of answers on time. */
 const kiosks: ModelWorkload = {
   ...restorers,
   kinds: restorers.kinds.map((kind) => ({ ...kind, lateWorth: 0.1 * kind.worth })),
@@ -76,7 +80,10 @@
 
 const columns: readonly (keyof ModelOutcome)[] = ['worth', 'onTime', 'late', 'refused', 'cut'];
 
-const formatGain = (outcomes: readonly ModelOutcome[], baseline: readonly ModelOutcome[]): string => {
+const formatGain = (
+  outcomes: readonly ModelOutcome[],
+  baseline: readonly ModelOutcome[],
+): string => {
   const gains = outcomes.map(({ worth }, position) => worth - (baseline[position]?.worth ?? 0));
   const mean = gains.reduce((sum, gain) => sum + gain, 0) / gains.length;
   return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)}, ${gains.filter((gain) => gain > 0).length} up`;
@@ -93,9 +100,9 @@
 
 const args = yargs(hideBin(process.argv))
   .option('off', {
-    type: 'string', array: true, choices: MECHANISMS, default: [] as Mechanism[], describe: 'mechanisms to go without, one row each',
+    type: 'string', array: true, choices: MECHANISMS, default: [] as Mechanism[], describe: 'mechanisms to switch off, each in a row of its own',
   })
-  .option('seeds', { type: 'number', default: 10, describe: 'plays a row' })
+  .option('seeds', { type: 'number', default: 10, describe: 'simulation runs per row' })
   .strict()
   .parseSync();
 
@@ -106,7 +113,7 @@
   seeds.map((seed) => new PlacementModel(workload, seed, off).run())
 );
 
-process.stdout.write(`mean (spread) of ${args.seeds} plays of ${RUN_SECONDS} s\n${''.padEnd(34)}${headers.join('')}\n`);
+process.stdout.write(`mean (range) of ${args.seeds} runs of ${RUN_SECONDS} s\n${''.padEnd(34)}${headers.join('')}\n`);
 Object.entries(workloads).forEach(([name, workload]) => {
   const baseline = runWorkload(workload, []);
   printRow(name, baseline, baseline);
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,7 +1,11 @@
 /**
- * Policies side by side on the same arrivals: ours, round robin, and least outstanding at each
- * entry alone. Arguments: shape (kiosk | registry), seconds of each run, and loads. FAULT=slow or
- * FAULT=stall strikes the first engine, one of the two fastest, after a fifth of each run.
+ * Compares scheduling policies on the same arrivals: the default policy (`ours`), round robin, and
+ * least outstanding requests, counted by each entry alone. Arguments: workload (kiosk | registry),
+ * seconds per run, and loads as multiples of the workload's capacity.
+ *
+ * Environment variables: FAULT=slow or FAULT=stall injects this fault into the first engine, one of
+ * the two fastest, after a fifth of each run. ABLATE=1 adds policies with one feature switched off
+ * each. POLICIES selects policies by name, separated by commas. SEED sets the seed of the arrivals.
  */
 import { writeFileSync } from 'node:fs';
 import type { PolicySettings } from '../src/core/schedule/scheduleTypes';
@@ -84,7 +88,9 @@
     sent: outcomes.length,
     inTime: selectInTime(outcomes).length,
     goodput: collectByTier(
-      (name) => (selectInTime(selectByTier(name)).length / Math.max(1, selectByTier(name).length)).toFixed(3),
+      (name) => (
+        selectInTime(selectByTier(name)).length / Math.max(1, selectByTier(name).length)
+      ).toFixed(3),
     ),
     firstTokenP50: collectByTier((name) => computeQuantile(listFirstTokenTimes(name), 0.5)),
     firstTokenP99: collectByTier((name) => computeQuantile(listFirstTokenTimes(name), 0.99)),
@@ -95,7 +101,7 @@
   };
 };
 
-/** Strikes the first engine for the rest of a run. */
+/** Runs the arrivals, and injects the fault, if one is set, into the first engine. */
 const runWithFault = async (
   site: PolicySite,
   arrivals: readonly Arrival[],
@@ -131,7 +137,7 @@
   const site = new PolicySite(POLICIES[name] ?? {}, workload.tiers);
   try {
     await site.start(ENTRY_COUNT);
-    // Warms up what every policy learns, on other arrivals.
+    // Policies learn from requests: each is warmed up with other arrivals than those measured.
     await site.run(makeArrivals(workload.tiers, workload.capacity * 0.5, 4, SEED + 1));
     return await runLoads(site, name);
   } finally {
--- a/bench/policyLoad.ts
+++ b/bench/policyLoad.ts
@@ -1,19 +1,22 @@
 import prand from 'pure-rand';
 
-/** A tier of the bench, with the shape of its requests; lengths are log-uniform. */
+/** A tier of the benchmark and the distribution of its requests; lengths are log-uniform. */
 export interface TierShape {
   readonly name: string;
+  /** Share of all requests. */
   readonly share: number;
+  /** Shortest and longest prompt, and answer, in tokens. */
   readonly promptTokens: readonly [number, number];
   readonly outputTokens: readonly [number, number];
   readonly firstTokenMs: number;
   readonly totalMs: number;
-  /** Whether prompts begin with one of a few documents. */
+  /** Whether prompts start with one of a few documents that several requests share. */
   readonly sharesPrefix: boolean;
 }
 
-/** One request that arrives. */
+/** One request of the workload. */
 export interface Arrival {
+  /** Milliseconds from the start of the run. */
   readonly atMs: number;
   readonly tier: TierShape;
   readonly account: string;
@@ -21,7 +24,7 @@
   readonly outputTokens: number;
 }
 
-/** Kiosks: mostly short and urgent. */
+/** Kiosks: mostly short requests with tight latency targets. */
 export const KIOSK_WORKLOAD: readonly TierShape[] = [
   {
     name: 'door', share: 0.2, promptTokens: [20, 100], outputTokens: [4, 16], firstTokenMs: 400, totalMs: 1_500, sharesPrefix: false,
@@ -37,12 +40,12 @@
   },
 ];
 
-/** Registry: more long histories, which are costly to redo. */
+/** Registry: a larger share of long histories, which are expensive to run again. */
 export const REGISTRY_WORKLOAD: readonly TierShape[] = KIOSK_WORKLOAD.map((tier, position) => ({
   ...tier, share: [0.1, 0.25, 0.2, 0.45][position] ?? 0,
 }));
 
-/** Two large accounts and three small ones. */
+/** Share of the requests of each client account: two are large and three are small. */
 export const ACCOUNT_SHARES: Readonly<Record<string, number>> = {
   large1: 0.4, large2: 0.3, small1: 0.1, small2: 0.1, small3: 0.1,
 };
@@ -66,7 +69,7 @@
     .slice(0, tokens * CHARACTERS_PER_TOKEN)
 );
 
-/** The same arrivals for every policy: Poisson, from a seed. */
+/** Makes Poisson arrivals. Equal arguments give equal arrivals, so that policies are comparable. */
 export const makeArrivals = (
   workload: readonly TierShape[],
   perSecond: number,
@@ -85,7 +88,10 @@
     const account = pickByShare(Object.entries(ACCOUNT_SHARES), draw());
     const document = Math.floor(draw() * PREFIX_DOCUMENTS);
     const prefix = tier.sharesPrefix ? makeText(`rules of ${account} ${document}`, PREFIX_TOKENS) : '';
-    const ownTokens = Math.max(8, drawLogUniform(tier.promptTokens) - prefix.length / CHARACTERS_PER_TOKEN);
+    const ownTokens = Math.max(
+      8,
+      drawLogUniform(tier.promptTokens) - prefix.length / CHARACTERS_PER_TOKEN,
+    );
     return {
       atMs,
       tier,
--- a/bench/policySite.ts
+++ b/bench/policySite.ts
@@ -10,7 +10,7 @@
 import { ACCOUNT_SHARES } from './policyLoad';
 import type { Arrival, TierShape } from './policyLoad';
 
-/** Engines of the bench: two of each of three speeds. */
+/** Engines of the benchmark: two of each of three speeds. */
 export const ENGINES = [1, 1, 2, 2, 4, 4].map((slowness, position) => ({
   id: `g${position}`,
   hardware: `speed-${slowness}`,
@@ -19,15 +19,16 @@
   slots: 8,
 }));
 
-/** What became of one request. */
+/** Outcome of one request. */
 export interface Outcome {
   readonly tier: string;
   readonly kind: 'inTime' | 'late' | 'refused' | 'lost' | 'wrong';
   readonly firstTokenMs: number;
+  /** Name of the service's error, or message of the client's; empty for an answer. */
   readonly name: string;
 }
 
-/** Totals of all engines. */
+/** Counters summed over all engines. */
 export interface EngineTotals {
   readonly prefilledTokens: number;
   readonly wastedTokens: number;
@@ -40,7 +41,7 @@
 
 const agent = new Agent({ connections: 2_000, keepAliveTimeout: 500 });
 
-/** Entries with one policy before unlike engines, each a process of its own. */
+/** Entries with one policy and engines of different speeds, each in its own process. */
 export class PolicySite {
   readonly site = new TestSite();
 
@@ -50,7 +51,7 @@
     this.site.entryProgram = ['dist/benchEntry.cjs', JSON.stringify(policy)];
   }
 
-  /** Starts everything; every entry knows every engine it must. */
+  /** Starts all processes and waits until all engines are listed. */
   async start(entries: number): Promise<void> {
     const accounts = Object.fromEntries(Object.keys(ACCOUNT_SHARES).map((name) => [name, {
       keyHashes: [hashKey(name)], tiers: this.workload.map((tier) => tier.name), concurrency: 1_900,
@@ -63,12 +64,12 @@
     }]));
     await this.site.start(1, entries, makeManifest(1, { tiers, accounts }));
     await Promise.all(ENGINES.map((engine) => this.addEngine(engine)));
-    await waitUntil('all engines are known', async () => (
+    await waitUntil('all engines are listed', async () => (
       new Set(await this.site.listWorkers()).size === ENGINES.length));
     await pause(1_500);
   }
 
-  /** Sends all arrivals in their time and waits for the last. */
+  /** Sends each request at its arrival time and waits for all outcomes. */
   run(arrivals: readonly Arrival[]): Promise<Outcome[]> {
     const startedAt = performance.now();
     return Promise.all(arrivals.map(async (arrival, position) => {
@@ -77,7 +78,7 @@
     }));
   }
 
-  /** Sums up what the engines did so far. */
+  /** Reads the counters of all engines and sums them. */
   async readTotals(): Promise<EngineTotals> {
     const totals = await Promise.all(this.engines.map(async ({ address }) => {
       const response = await request(`http://${address}/v1/stats`);
@@ -90,7 +91,7 @@
     }));
   }
 
-  /** Makes an engine behave badly. */
+  /** Sets the fault that an engine simulates; `none` ends it. */
   async setFault(position: number, kind: string): Promise<void> {
     const response = await request(`http://${this.engines[position]?.address}/v1/fault`, {
       method: 'POST', body: JSON.stringify({ kind }),
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,6 +1,7 @@
 /**
- * What an entry adds: the same engine stand-in asked directly and through an entry, in turn, in one
- * run. Prints p50 and p99 of the first token and of the gaps between tokens, and the added time.
+ * Measures the latency that an entry adds. The same requests go directly to an engine stand-in and
+ * then through an entry, in the same run. Prints the p50 and p99 of the time to the first token and
+ * of the gaps between tokens, and the time that the entry adds to the first token.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { Agent, request } from 'undici';
@@ -9,7 +10,7 @@
 
 const TOKENS_PER_STREAM = 40;
 
-/** How many streams are open at a time, how often, and how fast the engine makes their tokens. */
+/** Streams per round, number of rounds, and the engine's time per token. */
 interface LoadLevel {
   readonly streams: number;
   readonly rounds: number;
@@ -46,7 +47,7 @@
     }),
   });
   const times: number[] = [];
-  // eslint-disable-next-line no-restricted-syntax -- a stream is read in order
+  // eslint-disable-next-line no-restricted-syntax -- the chunks of a stream are read in order
   for await (const chunk of response.body) {
     const events = (chunk as Buffer).toString().split('data: {').length - 1;
     if (events > 0) times.push(performance.now());
@@ -55,8 +56,11 @@
   return { firstTokenMs: (times[0] ?? 0) - startedAt, gaps };
 };
 
-/** Streams that start one after the other, evenly over the life of one, so that none queues. */
-const measureRound = (address: string, { streams, decodeMs }: LoadLevel): Promise<StreamTiming[]> => {
+/** Spaces the starts evenly over the duration of one stream, so that no request queues. */
+const measureRound = (
+  address: string,
+  { streams, decodeMs }: LoadLevel,
+): Promise<StreamTiming[]> => {
   const spacingMs = (TOKENS_PER_STREAM * decodeMs) / streams;
   return Promise.all(Array.from({ length: streams }, async (unused, position) => {
     await pause(position * spacingMs);
@@ -71,7 +75,7 @@
   ));
 
 const formatTimings = (timings: readonly StreamTiming[]): string => {
-  const firstTokenTimes = timings.map(({ firstTokenMs: firstTokenMs }) => firstTokenMs);
+  const firstTokenTimes = timings.map(({ firstTokenMs }) => firstTokenMs);
   const gaps = timings.flatMap(({ gaps: streamGaps }) => streamGaps);
   return `first ${computeQuantile(firstTokenTimes, 0.5).toFixed(2)} / ${computeQuantile(firstTokenTimes, 0.99).toFixed(2)} ms, gap ${computeQuantile(gaps, 0.5).toFixed(2)} / ${computeQuantile(gaps, 0.99).toFixed(2)} ms`;
 };
@@ -81,10 +85,10 @@
   const direct = await measureRounds(engine, level);
   const viaEntry = await measureRounds(entry, level);
   const computeFirstTokenQuantile = (timings: readonly StreamTiming[], quantile: number) => (
-    computeQuantile(timings.map(({ firstTokenMs: firstTokenMs }) => firstTokenMs), quantile));
+    computeQuantile(timings.map(({ firstTokenMs }) => firstTokenMs), quantile));
   const added = [0.5, 0.99].map((quantile) => (
     computeFirstTokenQuantile(viaEntry, quantile) - computeFirstTokenQuantile(direct, quantile)));
-  console.log(`${level.streams} streams, a token each ${level.decodeMs} ms (p50 / p99)`);
+  console.log(`${level.streams} streams, one token every ${level.decodeMs} ms (p50 / p99)`);
   console.log(`  direct:  ${formatTimings(direct)}`);
   console.log(`  entry:   ${formatTimings(viaEntry)}`);
   console.log(`  added to the first token: ${added.map((ms) => ms.toFixed(2)).join(' / ')} ms`);
--- a/bench/shedding.ts
+++ b/bench/shedding.ts
@@ -1,7 +1,8 @@
 /**
- * Sends requests at an even pace to one entry before three servers that turn a part of them away
- * and ask for rest: `npm run bench:shedding`. Prints what was served, what the entry refused, and
- * the most requests that reached a server within one of its rests.
+ * Sends requests at a constant rate through one entry to three servers, some of which shed a share
+ * of the requests and ask for backoff: `npm run bench:shedding`. Prints the served share, the share
+ * that the entry refused, and the highest number of requests that a server received during one of
+ * its backoffs.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import prand from 'pure-rand';
@@ -18,7 +19,7 @@
 const DRAW_RANGE = 1_000;
 const REQUEST = 'GET /orders/7 HTTP/1.1\r\nHost: shop.example\r\nx-id: r1\r\nx-key: k1\r\nconnection: close\r\n\r\n';
 
-/** How many of the servers shed, and which share of their requests. */
+/** Number of servers that shed load, and the share of requests that each of them sheds. */
 interface SheddingCase {
   readonly shedding: number;
   readonly share: number;
@@ -38,7 +39,9 @@
   const random = prand.xoroshiro128plus(SEED + position);
   return new SheddingServer(() => {
     const drawn = prand.unsafeUniformIntDistribution(0, DRAW_RANGE - 1, random);
-    return drawn < share * DRAW_RANGE ? { status: 503, restMs: BACKOFF_MS } : { delayMs: SERVICE_TIME_MS };
+    return drawn < share * DRAW_RANGE
+      ? { status: 503, restMs: BACKOFF_MS }
+      : { delayMs: SERVICE_TIME_MS };
   });
 };
 
@@ -57,8 +60,8 @@
   const answers = await Promise.all(sends);
   await rig.close();
   const [served = 0, refused = 0] = [200, 503].map((status) => countByStatus(answers, status));
-  const maxInBackoff = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
-  return `${rate}/s, ${shedding} of ${SERVER_COUNT} shed ${share}: served ${(served / answers.length).toFixed(3)}, refused ${(refused / answers.length).toFixed(3)}, most in a rest ${maxInBackoff}`;
+  const maxInBackoff = Math.max(...servers.map(({ maxDuringBackoff }) => maxDuringBackoff));
+  return `${rate}/s, ${shedding} of ${SERVER_COUNT} shed ${share}: served ${(served / answers.length).toFixed(3)}, refused ${(refused / answers.length).toFixed(3)}, most in one backoff ${maxInBackoff}`;
 };
 
 const runRate = async (rate: number): Promise<void> => {
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes for docs/CAPACITY.md: processor time, bytes and memory of each role at several sizes, from
- * real processes on loopback. Processor time is the process's own, so that other load on the
- * machine does not count.
+ * Measures how CPU time and memory of each role grow with its load, for docs/CAPACITY.md. Runs real
+ * processes on loopback at several sizes and fits a line to the results. CPU time is that of the
+ * measured process, so that other load on the machine is not included.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { Agent, request } from 'undici';
@@ -19,13 +19,13 @@
 
 const MEASUREMENT_MS = 5_000;
 const HEARTBEAT_MS = 500;
-const DAEMON_COUNTS = [8, 32, 64, 128];
+const ENTRY_COUNTS = [8, 32, 64, 128];
 const MIB = 1_048_576;
 const CLOCK_TICKS_PER_SECOND = 100;
 
 type Points = readonly (readonly [number, number])[];
 
-/** Processor seconds that a piece of work took, and how long it lasted. */
+/** CPU time and elapsed time of a measurement. */
 interface CpuUsage {
   readonly cpuSeconds: number;
   readonly elapsedSeconds: number;
@@ -34,7 +34,7 @@
 interface LinearFit {
   readonly slope: number;
   readonly intercept: number;
-  /** Largest distance from the line, as a share of the largest value. */
+  /** Largest deviation from the line, as a share of the largest value. */
   readonly residual: number;
 }
 
@@ -47,8 +47,10 @@
   const slope = covariance / variance;
   const intercept = meanY - slope * meanX;
   const largest = Math.max(...points.map(([, y]) => Math.abs(y)));
-  const residual = Math.max(...points.map(([x, y]) => Math.abs(y - intercept - slope * x))) / largest;
-  return { slope, intercept: intercept, residual };
+  const residual = Math.max(
+    ...points.map(([x, y]) => Math.abs(y - intercept - slope * x)),
+  ) / largest;
+  return { slope, intercept, residual };
 };
 
 const printFit = (name: string, unit: string, points: Points): LinearFit => {
@@ -79,7 +81,7 @@
   const startedAt = performance.now();
   await run();
   const elapsedSeconds = (performance.now() - startedAt) / 1_000;
-  return { cpuSeconds: await readCpuSeconds(siteProcess) - before, elapsedSeconds: elapsedSeconds };
+  return { cpuSeconds: await readCpuSeconds(siteProcess) - before, elapsedSeconds };
 };
 
 const runInOrder = async <Item>(
@@ -92,11 +94,11 @@
   }, Promise.resolve());
 };
 
-/** Heartbeats of many daemons at one leader. */
+/** Measures the CPU time of a leader that receives heartbeats of many entries. */
 const measureHeartbeats = async (site: TestSite): Promise<void> => {
   const [leader] = site.controls as [SiteProcess];
   const points: [number, number][] = [];
-  await runInOrder(DAEMON_COUNTS, async (count) => {
+  await runInOrder(ENTRY_COUNTS, async (count) => {
     const links = Array.from({ length: count }, () => new LinkTable(ControlClient));
     const sendHeartbeat = (
       link: LinkTable<ControlClient>,
@@ -121,13 +123,13 @@
     const timers = links.map((link, position) => (
       setInterval(() => sendHeartbeat(link, position), HEARTBEAT_MS)));
     await pause(2_000);
-    const { cpuSeconds: cpuSeconds, elapsedSeconds: elapsedSeconds } = await measureCpu(leader, () => pause(MEASUREMENT_MS));
+    const { cpuSeconds, elapsedSeconds } = await measureCpu(leader, () => pause(MEASUREMENT_MS));
     timers.forEach((timer) => clearInterval(timer));
     links.forEach((link) => link.close());
     points.push([count, (cpuSeconds / elapsedSeconds) * 100]);
     await pause(3_000);
   });
-  printFit('leader, % of a core by daemons that send 2 heartbeats/s each with the whole view and manifest', '%', points);
+  printFit('leader, % of a core by entries that send 2 heartbeats/s each and receive the whole view and manifest', '%', points);
 };
 
 const setFault = async (engine: string, kind: string): Promise<void> => {
@@ -142,7 +144,7 @@
   state: 'finished', answer: Buffer.alloc(400), answerKept: true,
 });
 
-/** Claims at one holder. */
+/** Measures the CPU time and memory of one claim holder. */
 const measureClaims = async (site: TestSite): Promise<void> => {
   const [holder] = site.controls as [SiteProcess];
   const links = new LinkTable(ControlClient);
@@ -151,16 +153,16 @@
   const points: [number, number][] = [];
   await runInOrder([200, 800, 1_600], async (count) => {
     const claimNumbers = Array.from({ length: count }, (unused, position) => position);
-    const { cpuSeconds: cpuSeconds } = await measureCpu(holder, () => Promise.all(claimNumbers.map(async (position) => {
-      await pause(position / 2);
+    const { cpuSeconds } = await measureCpu(holder, () => Promise.all(claimNumbers.map(async (n) => {
+      await pause(n / 2);
       const operation = new Operation({ timeoutMs: 5_000 });
-      const ticket = await client.prepare(`a\n${count}-${position}`, operation);
+      const ticket = await client.prepare(`a\n${count}-${n}`, operation);
       await client.accept(ticket, DISPATCHED, operation);
       await client.accept(ticket, FINISHED, operation);
     })));
     points.push([count * 3, cpuSeconds * 1_000]);
   });
-  printFit('holder, milliseconds of processor time by synced votes', 'ms', points);
+  printFit('holder, ms of CPU time by synced votes', 'ms', points);
   const memory = await readMemoryMib(holder);
   console.log(`holder, memory with ${points.reduce((sum, [votes]) => sum + votes / 3, 0)} claims: ${memory.toFixed(1)} MiB`);
   links.close();
@@ -183,31 +185,33 @@
   count: number,
   tokens: number,
   agent: Agent,
-): Promise<unknown> => Promise.all(Array.from({ length: count }, () => sendRequest(entry, tokens, agent)));
+): Promise<unknown> => Promise.all(
+  Array.from({ length: count }, () => sendRequest(entry, tokens, agent)),
+);
 
-/** Tokens and streams at one entry. */
+/** Measures the CPU time and memory of one entry by tokens, requests and open streams. */
 const measureStreams = async (site: TestSite, address: string): Promise<void> => {
   const [entry] = site.entries as [SiteProcess];
   const agent = new Agent({ connections: 2_000 });
   await Promise.all(Array.from({ length: 32 }, () => sendRequest(entry, 50, agent)));
   const tokens: [number, number][] = [];
   await runInOrder([50, 200, 400], async (count) => {
-    const { cpuSeconds: cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, 32, count, agent));
+    const { cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, 32, count, agent));
     tokens.push([count * 32, cpuSeconds * 1_000]);
   });
-  printFit('entry, milliseconds of processor time by relayed tokens (32 streams)', 'ms', tokens);
+  printFit('entry, ms of CPU time by relayed tokens (32 streams)', 'ms', tokens);
   const requests: [number, number][] = [];
   await runInOrder([100, 300, 600], async (count) => {
-    const { cpuSeconds: cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, count, 1, agent));
+    const { cpuSeconds } = await measureCpu(entry, () => sendRequests(entry, count, 1, agent));
     requests.push([count, cpuSeconds * 1_000]);
   });
-  printFit('entry, milliseconds of processor time by requests of one token without a key', 'ms', requests);
+  printFit('entry, ms of CPU time by requests of one token without an idempotency key', 'ms', requests);
   const memory: [number, number][] = [];
   await runInOrder([1, 150, 300, 450], async (count) => {
     // A stalled engine keeps all streams open at once.
     await setFault(address, 'stall');
     const running = sendRequests(entry, count, 2, agent);
-    await waitUntil('all are open', async () => (await site.readStatus(entry)).open >= count);
+    await waitUntil('all streams are open', async () => (await site.readStatus(entry)).open >= count);
     memory.push([count, await readMemoryMib(entry)]);
     await setFault(address, 'none');
     await running;
@@ -215,7 +219,7 @@
   printFit('entry, MiB by open streams', 'MiB', memory);
 };
 
-/** The same with an engine that ends with the measurement, whatever comes of it. */
+/** Measures streams with an engine that is stopped afterwards, also after an error. */
 const measureStreamsWithEngine = async (site: TestSite): Promise<void> => {
   const { child, address } = await startEngine(site, { decodeMs: 2, slots: 2_000 });
   try {
@@ -225,7 +229,7 @@
   }
 };
 
-/** Memory of an owner by workers, and of an entry by accounts. */
+/** Measures the memory of an entry by client accounts, and of a pool owner by workers. */
 const measureTableMemory = async (site: TestSite): Promise<void> => {
   const [entry] = site.entries as [SiteProcess];
   const accounts: [number, number][] = [];
@@ -260,21 +264,24 @@
     const cpuUsage = process.cpuUsage(startedAt);
     global.gc?.();
     workers.push([count, (process.memoryUsage().heapUsed - before) / 1_024]);
-    console.log(`owner, ${count} announcements: ${((cpuUsage.user + cpuUsage.system) / count).toFixed(1)} us each; workers kept: ${tables.workers.size}`);
+    console.log(`owner, ${count} announcements: ${((cpuUsage.user + cpuUsage.system) / count).toFixed(1)} us of CPU time each; workers in the table: ${tables.workers.size}`);
   });
   printFit('owner, KiB of heap by workers', 'KiB', workers);
 };
 
-/** From accepted to in force on all of eight entries. */
+/** Measures the time from the acceptance of a manifest until it is in force on all entries. */
 const measureManifestChange = async (site: TestSite): Promise<void> => {
   const times: number[] = [];
-  await runInOrder(Array.from({ length: 10 }, (unused, position) => position + 2), async (version) => {
-    await site.submit(makeManifest(version));
-    const acceptedAt = performance.now();
-    await site.waitForVersion(version);
-    times.push(performance.now() - acceptedAt);
-  });
-  console.log(`8 entries, accepted to in force everywhere: max ${Math.max(...times).toFixed(0)} ms of ${times.length} changes (heartbeats every 200 ms)`);
+  await runInOrder(
+    Array.from({ length: 10 }, (unused, position) => position + 2),
+    async (version) => {
+      await site.submit(makeManifest(version));
+      const acceptedAt = performance.now();
+      await site.waitForVersion(version);
+      times.push(performance.now() - acceptedAt);
+    },
+  );
+  console.log(`8 entries, from accepted to in force on all: max ${Math.max(...times).toFixed(0)} ms of ${times.length} changes (heartbeats every 200 ms)`);
   const frozenEntry = site.entries[0] as SiteProcess;
   site.freeze(frozenEntry, true);
   await site.submit(makeManifest(50));
@@ -287,22 +294,22 @@
   await site.kill(site.controls.find((control) => control.id === id) as SiteProcess);
   await site.submit(makeManifest(51));
   await site.waitForVersion(51);
-  console.log(`leader killed just before the submit: in force everywhere ${(performance.now() - killedAt).toFixed(0)} ms after the kill`);
-  const laggingReplica = site.controls.find(({ child }) => (
+  console.log(`leader killed just before the submit: in force on all entries ${(performance.now() - killedAt).toFixed(0)} ms after the kill`);
+  const restartedReplica = site.controls.find(({ child }) => (
     child.exitCode === null && child.signalCode === null)) as SiteProcess;
   const versions = Array.from({ length: 1_000 }, (unused, position) => position + 100);
   await runInOrder(versions, async (version) => {
     await site.submit(makeManifest(version));
   });
-  await site.kill(laggingReplica);
+  await site.kill(restartedReplica);
   const restartedAt = performance.now();
-  site.restart(laggingReplica);
+  site.restart(restartedReplica);
   await site.submit(makeManifest(2_000));
   await site.waitForVersion(2_000);
-  console.log(`a replica restarted with 1,000 changes piled up: site decides and all serve ${(performance.now() - restartedAt).toFixed(0)} ms after`);
+  console.log(`a replica restarted with 1,000 changes in its log: the next change in force on all entries ${(performance.now() - restartedAt).toFixed(0)} ms after the restart`);
 };
 
-/** Runs with a site that ends with the measurement, whatever comes of it. */
+/** Runs a measurement with a site that is stopped afterwards, also after an error. */
 const runWithSite = async (
   controlCount: number,
   entryCount: number,
--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,6 +1,6 @@
 /**
- * Airbnb's rules for TypeScript, and the rules of this repository; docs/DESIGN.md says where they
- * clash.
+ * Airbnb's rules for TypeScript and the rules of this repository. docs/DESIGN.md describes where
+ * they conflict.
  */
 import { configs, plugins } from 'eslint-config-airbnb-extended';
 import house from './tools/eslint/houseRules.mjs';
@@ -20,12 +20,12 @@
     rules: {
       'house/verb-names': 'error',
       'house/layer-imports': 'error',
-      // One class or concern a file, by name: a default export would say the name twice.
+      // A file is named after its one class or concern: a default export would repeat the name.
       'import-x/prefer-default-export': 'off',
       'import-x/no-extraneous-dependencies': 'off',
-      // Entities in tables are changed by the systems that run over them.
+      // Functions modify the entities in the tables that are passed to them.
       'no-param-reassign': ['error', { props: false }],
-      // Texts of errors and formats stay on one line, so that they can be searched for.
+      // Error messages and format strings are not broken, so that a text search finds them.
       '@stylistic/max-len': ['error', MAX_LINE, 2, {
         ignoreUrls: true,
         ignoreComments: false,
@@ -34,9 +34,9 @@
         ignoreRegExpLiterals: true,
       }],
       'import-x/extensions': 'off',
-      // The steps of a piece of work stay together in its class, also those that need no state.
+      // Steps of an operation are methods of its class, even if they do not use its state.
       'class-methods-use-this': 'off',
-      // Command line and log lines go to the standard streams.
+      // Command-line output and log lines are written to the standard streams.
       'no-console': 'off',
     },
   },
@@ -45,8 +45,8 @@
     rules: { 'house/platform-names': 'error' },
   },
   {
-    // A wall clock that jumps must move no lease, deadline or timeout: src/utils/clock.ts is the
-    // one clock. Log lines show the time of day.
+    // Leases, deadlines and timeouts must not depend on the wall clock, which may jump: they use
+    // the monotonic clock of src/utils/clock.ts. Only log lines show the time of day.
     files: ['src/**/*.ts'],
     ignores: ['src/telemetry/logger.ts'],
     rules: { 'no-restricted-globals': ['error', 'Date'] },
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,8 @@
-/** Bundles the product, and on demand its development programs, to one file each. */
+/**
+ * Bundles each program into one file. Arguments: entry points of further programs to bundle,
+ * `--platform` to bundle the programs of the users' platform instead, and `--binary` to build the
+ * single executable as well.
+ */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { dirname, resolve } from 'node:path';
@@ -17,10 +21,10 @@
 };
 
 /**
- * Writes the code that V8 compiled for a bundle: all that runs while it is loaded, as the process
- * that will start from it would have compiled it.
+ * Writes the V8 code cache of a bundle. The bundle is loaded first, so that the cache includes the
+ * functions that run at load time and starting processes need not compile them.
  */
-const writeCache = (path) => {
+const writeCodeCache = (path) => {
   const source = readFileSync(path, 'utf8');
   const text = `(function (exports, require, module, __filename, __dirname) {${source}\n})`;
   const script = new Script(text, { filename: path });
@@ -39,7 +43,7 @@
     minify: true,
     alias: { undici: './scripts/undiciParts.cjs' },
   })));
-  ['relay', 'control'].forEach((name) => writeCache(resolve(`target/${name}.cjs`)));
+  ['relay', 'control'].forEach((name) => writeCodeCache(resolve(`target/${name}.cjs`)));
   process.exit(0);
 }
 
--- a/scripts/checkBinary.mjs
+++ b/scripts/checkBinary.mjs
@@ -1,5 +1,6 @@
 /**
- * Runs the one binary as a user would: version, a good and a bad manifest, one request end to end.
+ * Tests the single executable from the command line: exit codes for a valid manifest, an invalid
+ * manifest and an unknown command, and one request end to end.
  */
 import { execFileSync, spawn } from 'node:child_process';
 import { createHash } from 'node:crypto';
@@ -10,8 +11,8 @@
 import { setTimeout as pause } from 'node:timers/promises';
 
 const BINARY = 'dist/beechlift';
-const TRIES = 200;
-const PAUSE_MS = 100;
+const MAX_RETRIES = 200;
+const RETRY_INTERVAL_MS = 100;
 const [CONTROL, ADMIN, CALLER, PEER] = [
   11_801, 11_802, 11_803, 11_804,
 ].map((port) => `127.0.0.1:${port}`);
@@ -27,7 +28,7 @@
   return path;
 };
 
-const readExit = (args) => {
+const readExitCode = (args) => {
   try {
     execFileSync(BINARY, args, { stdio: 'pipe' });
     return 0;
@@ -36,17 +37,17 @@
   }
 };
 
-const requireEqual = (what, found, expected) => {
-  if (found !== expected) throw new Error(`${what}: expected ${expected}, got ${found}`);
-  console.log(`ok: ${what}`);
+const requireEqual = (name, actual, expected) => {
+  if (actual !== expected) throw new Error(`${name}: expected ${expected}, got ${actual}`);
+  console.log(`ok: ${name}`);
 };
 
-const retry = async (what, run, left = TRIES) => {
+const retry = async (name, run, remaining = MAX_RETRIES) => {
   const result = await Promise.resolve().then(run).catch(() => undefined);
   if (result) return result;
-  if (left === 0) throw new Error(`${what} did not happen`);
-  await pause(PAUSE_MS);
-  return retry(what, run, left - 1);
+  if (remaining === 0) throw new Error(`${name} did not succeed after ${MAX_RETRIES} retries`);
+  await pause(RETRY_INTERVAL_MS);
+  return retry(name, run, remaining - 1);
 };
 
 const engine = createServer((request, response) => {
@@ -64,24 +65,24 @@
     pools: { engines: { kind: 'model', models: ['guide'] } },
   };
   const good = writeJson('good.json', manifest);
-  requireEqual('check of a good manifest', readExit(['check', good]), 0);
+  requireEqual('exit code for a valid manifest', readExitCode(['check', good]), 0);
   requireEqual(
-    'check of a bad manifest',
-    readExit(['check', writeJson('bad.json', { ...manifest, models: {} })]),
+    'exit code for an invalid manifest',
+    readExitCode(['check', writeJson('bad.json', { ...manifest, models: {} })]),
     1,
   );
-  requireEqual('an unknown command', readExit(['fly']), 2);
+  requireEqual('exit code for an unknown command', readExitCode(['fly']), 2);
   const replica = { id: 'c1', address: CONTROL, zone: 'az-1' };
-  const run = (kind, settings) => {
+  const startProcess = (kind, settings) => {
     children.push(spawn(BINARY, [kind, writeJson(`${kind}.json`, settings)], { stdio: 'ignore' }));
   };
-  run('control', {
+  startProcess('control', {
     ...replica, adminAddress: ADMIN, replicas: [replica], dataFolder: join(folder, 'data'), firstOperatorKeyHash: hashKey('op'),
   });
-  run('entry', {
+  startProcess('entry', {
     id: 'e1', zone: 'az-1', callerAddress: CALLER, peerAddress: PEER, control: [replica],
   });
-  requireEqual('submit', readExit(['submit', good, '--control', CONTROL, '--key', 'op']), 0);
+  requireEqual('exit code of submit', readExitCode(['submit', good, '--control', CONTROL, '--key', 'op']), 0);
   await new Promise((resolve) => {
     engine.listen(0, '127.0.0.1', resolve);
   });
@@ -98,7 +99,7 @@
   await retry('the announcement', async () => (await post('/v1/announce', announcement)).ok);
   const response = await post('/v1/completions', { model: 'guide', prompt: 'which room' });
   const answer = await response.json();
-  requireEqual('one request end to end', answer.choices?.[0]?.text, 'room 17');
+  requireEqual('answer of one request end to end', answer.choices?.[0]?.text, 'room 17');
 };
 
 try {
--- a/scripts/engine.ts
+++ b/scripts/engine.ts
@@ -1,4 +1,4 @@
-/** Runs one engine stand-in as a process of its own; its options are JSON in the first argument. */
+/** Runs a fake engine as a process. Its options are JSON in the first argument. */
 import { FakeEngine } from '../tests/fakes/fakeEngine';
 import type { FakeEngineOptions } from '../tests/fakes/fakeEngine';
 
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Writes src/protocol/generated/ from the schema. Needs protoc on PATH; the build does not run this.
+# Generates src/protocol/generated/ from the schema. Needs protoc on PATH; the build does not run it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 protoc --plugin=node_modules/.bin/protoc-gen-ts_proto \
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -1,7 +1,8 @@
 /**
- * Runs a small site on loopback: two entries, one control replica and two unlike engine stand-ins,
- * each a process of its own. Submits a manifest, asks as a caller would, prints what happened, and
- * ends. With --keep it goes on until it is interrupted. Nothing stays behind.
+ * Runs a small demo site on loopback: two entries, one control replica and two engine stand-ins of
+ * different speeds, each in its own process. Submits a manifest, sends two requests, prints their
+ * answers and traces, and exits. With `--keep` the site runs until it is interrupted. All processes
+ * and files are removed at the end.
  */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -85,7 +86,7 @@
   children.push(child);
   child.once('exit', (code) => {
     if (code === 0) resolve();
-    else reject(new Error(`beechlift ${args[0]} ended with ${code}`));
+    else reject(new Error(`beechlift ${args[0]} exited with code ${code}, expected 0`));
   });
 });
 
@@ -108,7 +109,7 @@
     }),
   });
   const text = await response.body.text();
-  if (response.statusCode !== 200) throw new Error(`status ${response.statusCode}: ${text}`);
+  if (response.statusCode !== 200) throw new Error(`request of tier ${tier} failed with status ${response.statusCode}, expected 200: ${text}`);
   return text.split('\n')
     .filter((line) => line.startsWith('data: {'))
     .map((line) => JSON.parse(line.slice(6)) as StreamChunk)
@@ -149,7 +150,7 @@
   const findRootSpan = () => readSpans().find(
     (span) => span.hop === 'caller' && span.attributes.tier === tier,
   );
-  await waitUntil('the trace', async () => findRootSpan() !== undefined);
+  await waitUntil('the trace is written', async () => findRootSpan() !== undefined);
   const rootSpan = findRootSpan();
   const spans = readSpans().filter(({ traceId }) => traceId === rootSpan?.traceId);
   console.log(formatTrace(spans, '', 0).join('\n'));
@@ -209,7 +210,7 @@
       OPERATOR_KEY,
     ],
   );
-  await waitUntil('the engines', async () => {
+  await waitUntil('the entries list both engines', async () => {
     const counts = await Promise.all(entries.map(countWorkers));
     return counts.reduce((sum, count) => sum + count, 0) === 2;
   });
@@ -218,7 +219,7 @@
   await printAnswer('A kiosk question', firstEntry, 'door', 'Which room is booking 4711 in, and what is its door code?', 24);
   await printAnswer('A bale history', firstEntry, 'history', 'Gin 12, bale 90417: weighed, graded, moved. '.repeat(120), 120);
   if (!keepsRunning) return;
-  console.log(`\nstill running; try\ncurl -N http://${firstEntry}/v1/chat/completions -H 'authorization: Bearer ${CLIENT_KEY}' -H 'content-type: application/json' -d '{"model":"guide","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Where is breakfast?"}]}'`);
+  console.log(`\nthe site is still running; try\ncurl -N http://${firstEntry}/v1/chat/completions -H 'authorization: Bearer ${CLIENT_KEY}' -H 'content-type: application/json' -d '{"model":"guide","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Where is breakfast?"}]}'`);
   await new Promise(() => {
     setInterval(() => undefined, 60_000);
   });
--- a/scripts/undiciParts.cjs
+++ b/scripts/undiciParts.cjs
@@ -1,6 +1,6 @@
 /**
- * The parts of undici that an entry uses, in its place in the platform's bundle: the rest, fetch
- * and WebSocket above all, would be loaded at each restart for nothing.
+ * Replaces undici in the platform's bundles by the parts that an entry uses. Otherwise each restart
+ * would also load unused parts, above all fetch and WebSocket.
  */
 module.exports = {
   Client: require('../node_modules/undici/lib/dispatcher/client'),
--- a/tools/eslint/houseRules.mjs
+++ b/tools/eslint/houseRules.mjs
@@ -1,4 +1,4 @@
-/** ESLint rules of this repository: verbs of function names, and which layer may import which. */
+/** ESLint rules of this repository: verbs in function names, imports of layers, platform names. */
 import { readFileSync } from 'node:fs';
 import { dirname, relative, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -18,11 +18,11 @@
 
 const isFunction = (node) => node?.type === 'ArrowFunctionExpression' || node?.type === 'FunctionExpression';
 
-/** Constants in capitals and classes are no function names. */
+/** Names of constants and classes start with a capital letter and are not checked. */
 const isChecked = (name) => /^[a-z]/.test(name);
 
 const verbNames = {
-  meta: { type: 'suggestion', schema: [], messages: { verb: 'Function "{{name}}" does not begin with a verb of docs/VERBS.md.' } },
+  meta: { type: 'suggestion', schema: [], messages: { verb: 'Function "{{name}}" does not start with a verb that docs/VERBS.md lists.' } },
   create: (context) => {
     const check = (node, name) => {
       if (!isChecked(name) || startsWithVerb(name)) return;
@@ -62,9 +62,9 @@
 
 const PLATFORM_NAMES = /Attempt-Id|Server-Stamp|Expected-Instance|Not-Executed|Prompt-Prefix|Token-Count|Kv-[A-Z][a-z]+|Instances\.(Heartbeat|Deregister)|Configuration\.(Replace|Read)|readiness_address|seed_nodes/i;
 
-/** The names of the users' platform stand in platform/ alone; src/ imports nothing from it. */
+/** Names of the users' platform are used only in platform/, and src/ does not import from it. */
 const platformNames = {
-  meta: { type: 'problem', schema: [], messages: { name: 'The platform\'s name "{{name}}" belongs into platform/.', source: 'src/ imports nothing from platform/.' } },
+  meta: { type: 'problem', schema: [], messages: { name: 'Name "{{name}}" of the users\' platform may only be used in platform/.', source: 'Files of src/ and scripts/ may not import from platform/.' } },
   create: (context) => ({
     Program: (node) => {
       const found = PLATFORM_NAMES.exec(context.sourceCode.text);
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,7 +1,7 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { defineConfig } from 'vitest/config';
 
-/** Titles that KNOWN-RED.txt lists, in quotes at the start of a line: CI alone passes over them. */
+/** Reads the quoted titles at the start of lines of KNOWN-RED.txt. Only CI skips these tests. */
 const listKnownFailures = (): string[] => {
   if (!process.env.CI || !existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
@@ -14,7 +14,7 @@
   test: {
     include: ['tests/**/*.spec.ts'],
     ...(knownFailures.length > 0 ? { testNamePattern: new RegExp(`^(?!.*(?:${knownFailures.join('|')})$)`) } : {}),
-    // A long search ends by its own budget of time, which is no failure.
+    // Fuzz tests stop at their own time budget; the timeout must not end them earlier.
     testTimeout: 60_000 + 2_000 * Number(process.env.BEECHLIFT_FUZZ_SECONDS ?? 0),
     hookTimeout: 60_000,
     pool: 'forks',
