--- a/bench/policyLoad.ts
+++ b/bench/policyLoad.ts
@@ -5,8 +5,9 @@
   readonly name: string;
   /** Share of all requests. */
   readonly share: number;
-  /** Shortest and longest prompt, and answer, in tokens. */
+  /** Shortest and longest prompt. */
   readonly promptTokens: readonly [number, number];
+  /** Shortest and longest answer. */
   readonly outputTokens: readonly [number, number];
   readonly firstTokenMs: number;
   readonly totalMs: number;
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -153,13 +153,15 @@
   const points: [number, number][] = [];
   await runInOrder([200, 800, 1_600], async (count) => {
     const claimNumbers = Array.from({ length: count }, (unused, position) => position);
-    const { cpuSeconds } = await measureCpu(holder, () => Promise.all(claimNumbers.map(async (n) => {
-      await pause(n / 2);
-      const operation = new Operation({ timeoutMs: 5_000 });
-      const ticket = await client.prepare(`a\n${count}-${n}`, operation);
-      await client.accept(ticket, DISPATCHED, operation);
-      await client.accept(ticket, FINISHED, operation);
-    })));
+    const { cpuSeconds } = await measureCpu(holder, () => Promise.all(
+      claimNumbers.map(async (claimNumber) => {
+        await pause(claimNumber / 2);
+        const operation = new Operation({ timeoutMs: 5_000 });
+        const ticket = await client.prepare(`a\n${count}-${claimNumber}`, operation);
+        await client.accept(ticket, DISPATCHED, operation);
+        await client.accept(ticket, FINISHED, operation);
+      }),
+    ));
     points.push([count * 3, cpuSeconds * 1_000]);
   });
   printFit('holder, ms of CPU time by synced votes', 'ms', points);
--- a/scripts/checkBinary.mjs
+++ b/scripts/checkBinary.mjs
@@ -45,7 +45,7 @@
 const retry = async (name, run, remaining = MAX_RETRIES) => {
   const result = await Promise.resolve().then(run).catch(() => undefined);
   if (result) return result;
-  if (remaining === 0) throw new Error(`${name} did not succeed after ${MAX_RETRIES} retries`);
+  if (remaining === 0) throw new Error(`${name} did not succeed within all retries`);
   await pause(RETRY_INTERVAL_MS);
   return retry(name, run, remaining - 1);
 };
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -109,7 +109,7 @@
     }),
   });
   const text = await response.body.text();
-  if (response.statusCode !== 200) throw new Error(`request of tier ${tier} failed with status ${response.statusCode}, expected 200: ${text}`);
+  if (response.statusCode !== 200) throw new Error(`request failed with status ${response.statusCode}, expected 200: ${text}`);
   return text.split('\n')
     .filter((line) => line.startsWith('data: {'))
     .map((line) => JSON.parse(line.slice(6)) as StreamChunk)
