--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -86,7 +86,7 @@
 ): string => {
   const gains = outcomes.map(({ worth }, position) => worth - (baseline[position]?.worth ?? 0));
   const mean = gains.reduce((sum, gain) => sum + gain, 0) / gains.length;
-  return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)}, ${gains.filter((gain) => gain > 0).length} up`;
+  return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)}, ${gains.filter((gain) => gain > 0).length} better`;
 };
 
 const printRow = (
@@ -107,7 +107,7 @@
   .parseSync();
 
 const seeds = Array.from({ length: args.seeds }, (unused, position) => position + 1);
-const headers = [...columns, 'by seed'].map((title) => title.padStart(20));
+const headers = [...columns, 'gain, seeds better'].map((title) => title.padStart(20));
 
 const runWorkload = (workload: ModelWorkload, off: readonly Mechanism[]): ModelOutcome[] => (
   seeds.map((seed) => new PlacementModel(workload, seed, off).run())
