--- a/bench/benchEngine.ts
+++ b/bench/benchEngine.ts
@@ -5,7 +5,7 @@
 import { waitUntil } from '../tests/fakes/testSite';
 import type { TestSite } from '../tests/fakes/testSite';
 
-/** An engine stand-in that runs in its own process. */
+/** A fake engine that runs in its own process. */
 export interface BenchEngine {
   readonly child: ChildProcess;
   readonly address: string;
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the latency that an entry adds. The same requests go directly to an engine stand-in and
+ * Measures the latency that an entry adds. The same requests go directly to a fake engine and
  * then through an entry, in the same run. Prints the p50 and p99 of the time to the first token and
  * of the gaps between tokens, and the time that the entry adds to the first token.
  */
--- a/scripts/start.ts
+++ b/scripts/start.ts
@@ -1,8 +1,8 @@
 /**
- * Runs a small demo site on loopback: two entries, one control replica and two engine stand-ins of
+ * Runs a small demo site on loopback: two entries, one control replica and two fake engines of
  * different speeds, each in its own process. Submits a manifest, sends two requests, prints their
  * answers and traces, and exits. With `--keep` the site runs until it is interrupted. All processes
- * and files are removed at the end.
+ * are stopped and all files are removed at the end.
  */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
