--- a/tests/fakes/controlSite.ts
+++ b/tests/fakes/controlSite.ts
@@ -10,7 +10,7 @@
 import { findFreeAddress } from './freeAddress';
 import { makeRouting } from './routings';
 
-/** Reads documents of the tests' own form. */
+/** Decodes routing documents of the test format, which is JSON. */
 export const readRouting: RoutingReader = (document) => {
   try {
     const routing = JSON.parse(document) as Routing;
@@ -21,7 +21,7 @@
   }
 };
 
-/** Waits for a condition, 15 s at most. */
+/** Waits until a condition holds; throws after 15 s. */
 export const waitFor = async (
   isDone: () => boolean | Promise<boolean>,
   description: string,
@@ -29,18 +29,18 @@
   const deadline = performance.now() + 15_000;
   const poll = async (): Promise<void> => {
     if (await isDone()) return;
-    if (performance.now() > deadline) throw new Error(`not within 15 s: ${description}`);
+    if (performance.now() > deadline) throw new Error(`timed out after 15 s waiting for: ${description}`);
     await pause(20);
     await poll();
   };
   await poll();
 };
 
-/** A document of the tests' own form. */
+/** Formats a routing document of the test format. */
 export const formatDocument = (version: number, changes: Partial<Routing> = {}): string => (
   JSON.stringify(makeRouting({ version, ...changes })));
 
-/** Control replicas of one site, as real servers on loopback with data folders of their own. */
+/** Control replicas of one site: real servers on loopback, each with its own data folder. */
 export class ControlSite {
   readonly running = new Map<number, RunningRoutedControl>();
 
@@ -78,7 +78,7 @@
     this.running.delete(position);
   }
 
-  /** Stops all replicas before any starts again, with its disk. */
+  /** Stops all replicas, and then starts all of them again with their disks. */
   async restartAll(): Promise<void> {
     const positions = [...this.running.keys()];
     await Promise.all(positions.map((position) => this.stop(position)));
@@ -86,7 +86,7 @@
     await this.waitForLeader();
   }
 
-  /** The same where one replica alone still has a file, which starts some time after the others. */
+  /** Restarts all replicas; only one still has the given file, and it starts after the others. */
   async restartWithOneCopy(name: string, delayMs = 0): Promise<void> {
     const [holder = 0, ...others] = [...this.running.keys()];
     await Promise.all([holder, ...others].map((position) => this.stop(position)));
@@ -96,14 +96,14 @@
     await Promise.all([this.waitForLeader(), this.start(holder, false)]);
   }
 
-  /** Whether a file of each replica holds a text. */
+  /** Whether the file contains the text at every replica. */
   async hasTextInAllFiles(name: string, text: string): Promise<boolean> {
     const contents = await Promise.all([...this.folders.values()].map((folder) => (
       readFile(join(folder, name), 'utf8').catch(() => ''))));
     return contents.every((content) => content.includes(text));
   }
 
-  /** Loses a file of a replica that is stopped. */
+  /** Removes a file of a stopped replica. */
   async removeFile(position: number, name: string): Promise<void> {
     await rm(join(this.folders.get(position) ?? '', name));
   }
@@ -116,7 +116,7 @@
 
   findNode(position: number) {
     const running = this.running.get(position);
-    if (!running) throw new Error(`replica ${position} does not run`);
+    if (!running) throw new Error(`replica ${position} is not running`);
     return running.node;
   }
 
--- a/tests/fakes/engineModel.ts
+++ b/tests/fakes/engineModel.ts
@@ -1,22 +1,22 @@
 import { createHash } from 'node:crypto';
 
-/** How fast an engine is and what it can do. */
+/** Speed and capacity of an engine. */
 export interface EngineTraits {
-  /** Milliseconds for one prompt token that is not cached. */
+  /** Prefill time of one prompt token that is not cached, in milliseconds. */
   readonly prefillMs: number;
-  /** Milliseconds for one token of one stream. */
+  /** Decode time of one token of one stream, in milliseconds. */
   readonly decodeMs: number;
   readonly slots: number;
-  /** Prefixes that the cache holds. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly cacheSize: number;
-  /** Gives the first token at once and never slows down: a bench of the relay wants no queue. */
+  /** Sends the first token at once and never slows down, so that a relay bench has no queue. */
   readonly isPrompt?: boolean;
 }
 
-/** Faults on demand. */
+/** Faults that a test can inject. */
 export type EngineFault = 'none' | 'stall' | 'silent' | 'slow' | 'drop' | 'refuse';
 
-/** A stream as the engine keeps it. */
+/** State of a stream in the engine. */
 export interface EngineStream {
   readonly id: string;
   readonly prompt: string;
@@ -26,7 +26,7 @@
   readonly events: string[];
   done: boolean;
   cancelled: boolean;
-  /** Prompt tokens that were prefilled for it. */
+  /** Number of prompt tokens that were prefilled for it. */
   prefilled: number;
   readonly listeners: Set<() => void>;
 }
@@ -39,15 +39,15 @@
 
 const hashText = (text: string): string => createHash('sha1').update(text).digest('base64url');
 
-/** The answer that belongs to a prompt, so that a caller can tell its own from another's. */
+/** Makes the answer to a prompt; it differs between prompts, so that a mix-up is detected. */
 export const makeExpectedText = (prompt: string, tokens: number): string => {
   const mark = hashText(prompt).slice(0, 6);
   return Array.from({ length: tokens }, (unused, position) => `${mark}:${position} `).join('');
 };
 
 /**
- * Continuous batching over one prefix cache: every step admits what fits and gives each stream one
- * token.
+ * Model of an engine with continuous batching and one prefix cache. Each step admits at most one
+ * waiting stream to a free slot, and then generates one token for each running stream.
  */
 export class EngineModel {
   fault: EngineFault = 'none';
@@ -56,10 +56,10 @@
 
   readonly cancelledIds = new Set<string>();
 
-  /** Prompt tokens prefilled, cached ones left out. */
+  /** Number of prompt tokens that were prefilled, without cached ones. */
   prefilledTokens = 0;
 
-  /** Those of them that were for streams which were cancelled. */
+  /** Number of prompt tokens that were prefilled for streams that were cancelled. */
   wastedTokens = 0;
 
   private readonly waiting: EngineStream[] = [];
@@ -72,12 +72,12 @@
 
   constructor(private readonly traits: EngineTraits) {}
 
-  /** Requests in the engine. */
+  /** Number of running and waiting requests. */
   get load(): number {
     return this.running.size + this.waiting.length;
   }
 
-  /** Takes a stream in. */
+  /** Adds a stream. */
   add(stream: EngineStream): void {
     this.streams.set(stream.id, stream);
     const [oldest] = this.streams.keys();
@@ -92,7 +92,7 @@
     this.schedule(0);
   }
 
-  /** Ends a stream early, and bars its id from now on. */
+  /** Cancels a stream; its id is rejected from now on. */
   cancel(id: string): 'neverSeen' | 'cancelled' | 'finished' {
     this.cancelledIds.add(id);
     const stream = this.streams.get(id);
--- a/tests/fakes/fakeEngine.ts
+++ b/tests/fakes/fakeEngine.ts
@@ -9,31 +9,31 @@
 import type { EngineFault, EngineStream, EngineTraits } from './engineModel';
 import { readBody } from './readBody';
 
-/** How an engine takes orders. */
+/** How an engine handles orders. */
 export interface OrderTraits {
-  /** How long it loads what it is ordered to; unset: it takes no orders. */
+  /** Load time of a model, in milliseconds; if it is missing, the engine accepts no orders. */
   readonly loadMs?: number;
-  /** Whether it takes orders under an old fencing number. */
+  /** Whether it accepts orders with an outdated fencing number. */
   readonly ignoresFencing?: boolean;
 }
 
-/** What a stand-in is started with. */
+/** Options of a fake engine. */
 export type FakeEngineOptions = EngineTraits & OrderTraits & {
   readonly id: string;
   readonly pool: string;
   readonly hardware: string;
   readonly models: readonly string[];
-  /** Entry VMs to announce to; they are taken in turn. */
+  /** Addresses of the entry VMs that receive announcements, in round-robin order. */
   readonly entries: readonly string[];
   readonly announceMs: number;
-  /** Age of the load that is reported. */
+  /** Age of the reported load, in milliseconds. */
   readonly loadLagMs: number;
-  /** File for a record of every dispatch. */
+  /** File that receives a record of every dispatch; empty for none. */
   readonly recordFile: string;
   readonly secret?: string;
-  /** How long a dispatch is on its way. */
+  /** Delay of a dispatch between its first byte and its processing, in milliseconds. */
   readonly arriveMs?: number;
-  /** Port to listen on; 0 or none for any. */
+  /** Port to listen on; 0 or missing for any free port. */
   readonly port?: number;
 };
 
@@ -57,8 +57,8 @@
 );
 
 /**
- * A model engine that tests and benches put before the system: it knows no tiers and admits as they
- * come.
+ * A fake model engine for tests and benches. It has no tiers and admits requests in the order of
+ * their arrival.
  */
 export class FakeEngine {
   readonly model: EngineModel;
@@ -69,13 +69,13 @@
 
   state: 'ready' | 'leaving' = 'ready';
 
-  /** Every dispatch, as the check of records reads it. */
+  /** All dispatches, in the form that `verifyRecords` reads. */
   readonly dispatches: DispatchRecord[] = [];
 
-  /** Orders that were carried out or are being so. */
+  /** Orders that were applied or are being applied. */
   readonly orders: Order[] = [];
 
-  /** Answers that ran when an order came: a real engine would cut them. */
+  /** Number of answers in progress when orders arrived; a real engine would abort them. */
   interruptedByOrders = 0;
 
   appliedOrder: Order | undefined;
@@ -86,10 +86,10 @@
 
   private orderTraits: OrderTraits;
 
-  /** Stream ids whose first byte has come. */
+  /** Ids of streams whose first byte was received. */
   readonly receivedIds = new Set<string>();
 
-  /** Stream ids in the order in which they were dispatched here. */
+  /** Ids of the streams that were dispatched to this engine, in order. */
   readonly dispatched: string[] = [];
 
   private readonly server: Server;
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Listens and begins to announce itself. */
+  /** Starts to listen and to send announcements. */
   async start(port = 0): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.listen(port, '127.0.0.1', resolve);
@@ -120,7 +120,7 @@
     await this.announce().catch(() => undefined);
   }
 
-  /** Dies at once: open connections are cut. */
+  /** Simulates a crash: closes all connections at once. */
   crash(): void {
     clearInterval(this.timer);
     this.model.stop();
@@ -128,7 +128,7 @@
     this.server.close();
   }
 
-  /** Tells an entry about itself. */
+  /** Sends an announcement to the next entry. */
   async announce(): Promise<void> {
     const {
       id, pool, hardware, models, slots, entries, loadLagMs, secret,
@@ -219,12 +219,12 @@
     },
   };
 
-  /** From now on it takes orders. */
+  /** Sets how it handles orders from now on. */
   setOrderTraits(traits: OrderTraits): void {
     this.orderTraits = traits;
   }
 
-  /** As after a start with an empty memory. */
+  /** Removes all orders, as a restart does. */
   resetOrders(): void {
     this.orders.length = 0;
     this.appliedOrder = undefined;
--- a/tests/fakes/fakeReplicas.ts
+++ b/tests/fakes/fakeReplicas.ts
@@ -7,15 +7,15 @@
 
 const HOST = '127.0.0.1';
 const REPLICAS = 5;
-/** Lease that the leader of the fakes gives, in milliseconds. */
+/** Lease that the fake leader grants, in milliseconds. */
 export const LEASE_MS = 2_300;
 
-/** Replicas that hold a question until they know a leader, as long as who asks allows. */
+/** Fake replicas that hold a watch request until a leader is set, at most for its `holdMs`. */
 export class FakeReplicas {
-  /** Questions that any of them got. */
+  /** Number of watch requests that all replicas received. */
   watchRequestCount = 0;
 
-  /** Milliseconds for which the latest question allowed to be held. */
+  /** `holdMs` of the latest watch request. */
   holdMs = 0;
 
   private readonly servers: RpcServer[] = [];
@@ -26,12 +26,12 @@
 
   addresses: string[] = [];
 
-  /** One before each replica, in no order. */
+  /** One proxy for each replica, in no particular order. */
   readonly proxies: SilentProxy[] = [];
 
-  /** Pieces of bytes between the entry and all replicas. */
+  /** Counts the chunks that passed between the entry and all replicas. */
   countChunks(): number {
-    return this.proxies.reduce((sum, { chunkCount: chunkCount }) => sum + chunkCount, 0);
+    return this.proxies.reduce((sum, { chunkCount }) => sum + chunkCount, 0);
   }
 
   async listen(): Promise<void> {
@@ -71,12 +71,12 @@
       watch: handleUnary<WatchRequest, WatchReply>(answer),
       keepWatch: handleStream((stream: ServerStream<WatchRequest, WatchReply>) => stream.listen({
         take: (request) => {
-          // As the leader: what is new to who asks is told at once.
+          // Like the real leader: a client without the document gets a reply at once.
           const isHeld = request.documentDigest !== '';
           (isHeld ? this.held.hold(request.holdMs) : Promise.resolve())
             .then(() => answer(request))
             .then((reply) => stream.send(reply))
-            .catch(() => undefined); // The test is over.
+            .catch(() => undefined); // The stream was closed at the end of the test.
         },
         close: () => undefined,
       })),
--- a/tests/fakes/fakeService.ts
+++ b/tests/fakes/fakeService.ts
@@ -5,12 +5,12 @@
 import { request } from 'undici';
 import { readBody } from './readBody';
 
-/** A plain service beside the engines, which notes every call that reaches it. */
+/** A fake backend server of a service that is not an engine. It records all calls. */
 export class FakeService {
   /** Method, path and body of each call. */
   readonly calls: string[] = [];
 
-  /** How long a call takes. */
+  /** Duration of a call, in milliseconds. */
   workMs = 0;
 
   address = '';
@@ -30,7 +30,7 @@
     this.address = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Tells every entry about itself. */
+  /** Sends an announcement to every entry. */
   async announce(): Promise<void> {
     await Promise.all(this.entries.map(async (entry) => {
       const response = await request(`http://${entry}/v1/announce`, {
@@ -44,7 +44,7 @@
     }));
   }
 
-  /** Dies at once: open connections are cut. */
+  /** Simulates a crash: closes all connections at once. */
   crash(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/tests/fakes/fragileServer.ts
+++ b/tests/fakes/fragileServer.ts
@@ -5,28 +5,28 @@
 import { findFreeAddress } from './freeAddress';
 import { readBody } from './readBody';
 
-/** A body with this text ends every server that begins to run it. */
+/** A body with this text crashes every server that runs it. */
 export const FATAL_TEXT = 'fatal';
-/** The connection of a body with this text is reset, and its server lives. */
+/** A body with this text resets its connection; the server keeps running. */
 export const RESET_TEXT = 'reset';
-/** A body with this text is answered by a stream of events. */
+/** A body with this text is answered with an event stream. */
 export const STREAM_TEXT = 'stream';
-/** A body with this text is answered late. */
+/** A body with this text is answered after a longer time. */
 export const SLOW_TEXT = 'slow';
 const ANSWER_MS = 30;
 const SLOW_ANSWER_MS = 900;
 const DOWN_MS = 500;
 const ANNOUNCE_MS = 200;
 
-/** Takes what a server says of itself. */
+/** Sends an announcement of a server to the leader. */
 export type AnnouncementSender = (announcement: WorkerAnnouncement) => Promise<unknown>;
 
-/** A backend server that ends under a marked request; its next start comes a moment later. */
+/** A backend server that crashes when it runs a marked request, and restarts soon after. */
 export class FragileServer {
   /** When marked requests arrived, monotonic milliseconds. */
   readonly fatalTimes: number[] = [];
 
-  /** When it ended, monotonic milliseconds. */
+  /** When it crashed, monotonic milliseconds. */
   readonly crashTimes: number[] = [];
 
   private server: Server | undefined;
@@ -47,7 +47,7 @@
     private readonly keepsId: boolean,
   ) {}
 
-  /** @param keepsId whether its next start has the same id, told apart by its birth alone */
+  /** @param keepsId whether a restarted server has the same id and only a new start time */
   static async start(
     name: string,
     service: string,
@@ -64,7 +64,7 @@
     this.closeServer();
   }
 
-  /** Ends it as a crash does, for a reason that is no request's; it is back a moment later. */
+  /** Simulates a crash that no request caused; the server restarts soon after. */
   async crash(): Promise<void> {
     if (!this.server) return;
     this.closeServer();
@@ -85,7 +85,7 @@
     });
     await this.sendAnnouncement(born);
     this.announceTimer = setInterval(() => {
-      this.sendAnnouncement(born).catch(() => undefined); // Said again in a moment.
+      this.sendAnnouncement(born).catch(() => undefined); // The next announcement follows soon.
     }, ANNOUNCE_MS);
   }
 
@@ -125,7 +125,7 @@
     await pause(body.includes(SLOW_TEXT) ? SLOW_ANSWER_MS : ANSWER_MS);
     if (server !== this.server) return;
     if (isFatal) {
-      this.crash().catch(() => undefined); // Its port is held by nobody else.
+      this.crash().catch(() => undefined); // No other process uses its port.
       return;
     }
     if (isStream) response.end('id: 2\ndata: x\n\n');
--- a/tests/fakes/freeAddress.ts
+++ b/tests/fakes/freeAddress.ts
@@ -3,14 +3,17 @@
 const HOST = '127.0.0.1';
 
 /*
- * Below the range from which the machine takes ports for outgoing connections: a port that was
- * free when it was looked for was taken by a connection since, and a process could not start.
+ * Below the range of ephemeral ports. A port of that range may be free when it is checked and be
+ * used by an outgoing connection before the process of the test listens on it.
  */
 const FIRST_PORT = 12_000;
 const PORTS_PER_RANGE = 500;
 const RANGES = 38;
 
-const listenAt = (port: number, keepsListening: boolean): Promise<boolean> => new Promise((resolve) => {
+const listenAt = (
+  port: number,
+  keepsListening: boolean,
+): Promise<boolean> => new Promise((resolve) => {
   const server = createServer();
   server.once('error', () => resolve(false));
   server.listen(port, HOST, () => {
@@ -24,11 +27,11 @@
 });
 
 /**
- * Claims a range of ports for this process, by listening at its first one until the process ends:
- * test processes of several runs beside each other never look for ports in the same range.
+ * Claims a range of ports for this process: it listens on the first port until the process exits.
+ * So test processes that run at the same time never use the same range.
  */
 const claimRange = async (range = 0): Promise<number> => {
-  if (range >= RANGES) throw new Error(`all ${RANGES} ranges of ports are in use by test processes`);
+  if (range >= RANGES) throw new Error(`all ${RANGES} port ranges are in use by other test processes`);
   const first = FIRST_PORT + range * PORTS_PER_RANGE;
   return await listenAt(first, true) ? first : claimRange(range + 1);
 };
@@ -37,7 +40,7 @@
 
 let lastOffset = 0;
 
-/** An address of this test process's own range that nobody uses. */
+/** Finds an unused address in the port range of this test process. */
 export const findFreeAddress = async (): Promise<string> => {
   firstPort ??= claimRange();
   const first = await firstPort;
--- a/tests/fakes/holdingLeader.ts
+++ b/tests/fakes/holdingLeader.ts
@@ -7,10 +7,10 @@
 import type { ServerStream } from '../../src/wire/rpcServer';
 
 const HOST = '127.0.0.1';
-/** How often it says that it still holds what it was asked, in milliseconds. */
+/** Interval of the keep-alive messages for held slot requests, in milliseconds. */
 const KEEP_ALIVE_MS = 50;
 
-/** A leader of control that takes questions for places in, shows signs of life, and gives none. */
+/** A fake leader that holds all slot requests: it sends keep-alive messages, and grants no slot. */
 export class HoldingLeader {
   address = '';
 
@@ -20,7 +20,7 @@
 
   private readonly keepAliveTimers = new Set<NodeJS.Timeout>();
 
-  /** @param makeReply what it tells entries that ask it */
+  /** @param makeReply makes the replies to watch requests */
   constructor(private readonly makeReply: (leaderAddress: string) => WatchReply) {}
 
   async listen(): Promise<void> {
@@ -30,11 +30,12 @@
         take: (request) => {
           this.answer(request)
             .then((reply) => stream.send(reply))
-            .catch(() => undefined); // The test is over.
+            .catch(() => undefined); // The stream was closed at the end of the test.
         },
         close: () => undefined,
       })),
-      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => this.sendKeepAlives(stream)),
+      place: handleStream((stream: ServerStream<PlaceNews, PlaceDecisions>) => (
+        this.sendKeepAlives(stream))),
     });
     this.address = await this.server.listen(`${HOST}:0`);
   }
@@ -52,7 +53,8 @@
 
   private sendKeepAlives(stream: ServerStream<PlaceNews, PlaceDecisions>): void {
     let acknowledged = 0;
-    const keepAliveTimer = setInterval(() => stream.send({ acknowledged, replies: [] }), KEEP_ALIVE_MS);
+    const keepAliveTimer = setInterval(() => (
+      stream.send({ acknowledged, replies: [] })), KEEP_ALIVE_MS);
     this.keepAliveTimers.add(keepAliveTimer);
     stream.listen({
       take: ({ number }) => {
--- a/tests/fakes/memoryFileSystem.ts
+++ b/tests/fakes/memoryFileSystem.ts
@@ -5,16 +5,16 @@
   synced: Buffer;
 }
 
-/** Where a write of this file system fails or is cut off. */
+/** Where an operation of this file system fails, or a write is torn. */
 export type FailurePoint = | 'beforeAppend' | 'tornAppend' | 'beforeSync' | 'afterSync' | 'beforeRename' | 'afterRename';
 
-/** A file system that keeps only what was synced when its machine loses power, or that is full. */
+/** A file system in memory. After a power loss only synced data is left; it can also be full. */
 export class MemoryFileSystem implements FileSystem {
   failAt: FailurePoint | undefined;
 
   isFull = false;
 
-  /** Lets a test decide when a sync is done. */
+  /** Awaited before each sync; a test may replace it to delay syncs. */
   waitForSync: () => Promise<void> = async () => undefined;
 
   private readonly files = new Map<string, MemoryFile>();
@@ -60,7 +60,7 @@
     this.files.forEach((file, path) => this.durableNames.set(path, file));
   };
 
-  /** Comes back after a power loss with what was synced, and optionally a torn rest. */
+  /** Restarts after a power loss with the synced data, and with some bytes of a torn write. */
   restart(tornBytes = 0): void {
     this.failAt = undefined;
     this.files.clear();
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Damages one byte in place. */
+  /** Corrupts one byte of a file. */
   corruptByte(path: string, position: number): void {
     const file = this.files.get(path);
     if (file) file.written[position] = 0x7e;
--- a/tests/fakes/pacedServer.ts
+++ b/tests/fakes/pacedServer.ts
@@ -5,15 +5,15 @@
 import { readBody } from './readBody';
 
 const HOST = '127.0.0.1';
-/** Pace of the events of a stream, in milliseconds. */
+/** Interval between the events of a stream, in milliseconds. */
 const EVENT_MS = 25;
-/** Piece of a bulk answer: less than a socket counts as too much to hold. */
+/** Size of a chunk of a bulk answer: below the high-water mark of a socket. */
 const BULK_BYTES = 12_000;
 const BULK_MS = 1;
-/** How long a reader takes nothing until it is taken for full, in milliseconds. */
+/** Time between the two checks that find a reader blocked, in milliseconds. */
 const BLOCKED_MS = 10;
 
-/** What a request of a test asks of the server that runs it. */
+/** Form of the answer that a request asks for. */
 export type AnswerForm = 'plain' | 'stream' | 'bulk';
 
 const readNumber = ({ headers }: IncomingMessage, name: string): number => (
@@ -21,26 +21,27 @@
 
 const formatEvent = (number: number): string => `id: ${number}\ndata: x\n\n`;
 
-/** The body of a stream of so many events. */
+/** Formats the body of a stream with that many events. */
 export const formatEvents = (count: number): string => (
   Array.from({ length: count }, (unused, position) => formatEvent(position + 1)).join('')
 );
 
-/** Events of a stream that lasts so long. */
-export const countEvents = (durationMs: number): number => Math.max(1, Math.ceil(durationMs / EVENT_MS));
+/** Counts the events of a stream of that duration. */
+export const countEvents = (durationMs: number): number => (
+  Math.max(1, Math.ceil(durationMs / EVENT_MS)));
 
 /**
- * A backend server that answers in the form and after the time that a request names in its headers
- * x-form, x-lasts and x-bytes, and notes what it ran.
+ * A backend server that records the requests it runs. The headers x-form, x-lasts and x-bytes of a
+ * request set the form, the duration and the size of the answer.
  */
 export class PacedServer {
-  /** Ids of the requests that it began to run, in order. */
+  /** Ids of the requests that it started to run, in order. */
   readonly runs: string[] = [];
 
-  /** Whether the reader of a bulk answer takes no more at the moment. */
+  /** Whether the reader of a bulk answer is currently not reading. */
   isReaderBlocked = (): boolean => true;
 
-  /** Resolves once a bulk answer was ended. */
+  /** Resolves when the server has ended a bulk answer. */
   readonly bulkEnded: Promise<void>;
 
   private resolveBulkEnded: () => void = () => undefined;
@@ -56,7 +57,7 @@
     });
   }
 
-  /** Where it listens. */
+  /** Address on which it listens. */
   get address(): string {
     return `${HOST}:${(this.server.address() as AddressInfo).port}`;
   }
@@ -91,7 +92,7 @@
     }).end('x'.repeat(bytes));
   }
 
-  /** A stream that was begun elsewhere goes on behind the last event that its caller has. */
+  /** Sends a stream; a resumed one continues after the last event that its caller received. */
   private async answerStream(request: IncomingMessage, response: ServerResponse): Promise<void> {
     await pause(readNumber(request, 'x-head-after'));
     response.writeHead(200, {
@@ -108,7 +109,7 @@
     response.end();
   }
 
-  /** As long as its reader takes more, and ended once it takes none. */
+  /** Sends chunks until the reader is blocked, and then ends the answer. */
   private async answerBulk(request: IncomingMessage, response: ServerResponse): Promise<void> {
     response.writeHead(200, { 'x-id': String(request.headers['x-id']) });
     const sendMore = async (): Promise<void> => {
--- a/tests/fakes/parseAnswer.ts
+++ b/tests/fakes/parseAnswer.ts
@@ -1,12 +1,12 @@
-/** An answer as it came over a connection. */
+/** An answer that was received over a connection. */
 export interface ParsedAnswer {
   readonly status: number;
-  /** By name in lower case. */
+  /** By lower-case name. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 }
 
-/** An answer that is whole, and how many bytes it took. */
+/** A complete answer and its length in bytes. */
 export interface CompleteAnswer {
   readonly answer: ParsedAnswer;
   readonly length: number;
@@ -46,10 +46,10 @@
 };
 
 /**
- * Reads the first answer of what came over a connection; undefined while it is not whole.
+ * Parses the first answer in the bytes received over a connection; undefined if it is incomplete.
  *
  * @example
- * const whole = parseAnswer(bytes);
+ * const complete = parseAnswer(bytes);
  */
 export const parseAnswer = (bytes: Buffer): CompleteAnswer | undefined => {
   const headEnd = bytes.indexOf(HEAD_END);
--- a/tests/fakes/powerLossFileSystem.ts
+++ b/tests/fakes/powerLossFileSystem.ts
@@ -1,6 +1,6 @@
 import type { AppendFile, FileSystem } from '../../src/disk/fileSystem';
 
-/** What a power loss leaves of a write that was not synced. */
+/** State of an unsynced write after a power loss. */
 export type UnsyncedWriteState = 'present' | 'missing' | 'torn';
 
 interface FileContent {
@@ -9,7 +9,7 @@
   writes: Buffer[];
 }
 
-/** Bytes that one system call writes of a longer buffer. */
+/** Most bytes that one system call writes. */
 const MAX_WRITE_BYTES = 524_288;
 
 const splitWrite = (bytes: Buffer): Buffer[] => Array.from(
@@ -31,9 +31,9 @@
 };
 
 /**
- * A disk whose syncs last until the test lets them end. A power loss leaves each write that was not
- * synced present, missing or torn, whatever became of the writes before it, and each name as it was
- * when its folder was last synced or as it is.
+ * A file system in memory whose syncs end when the test calls `finishSyncs`. After a power loss,
+ * each unsynced write is present, missing or torn, independently of the writes before it. Each name
+ * refers to the file of the last folder sync, or to its latest file.
  */
 export class PowerLossFileSystem implements FileSystem {
   private names = new Map<string, FileContent>();
@@ -42,10 +42,10 @@
 
   private pendingSyncs: (() => void)[] = [];
 
-  /** Whether syncs end by themselves. */
+  /** Whether syncs end at once, without `finishSyncs`. */
   isSyncImmediate = false;
 
-  /** Whether a sync is under way. */
+  /** Whether a sync is in progress. */
   get isSyncing(): boolean {
     return this.pendingSyncs.length > 0;
   }
@@ -67,7 +67,7 @@
       sync: () => this.sync(() => {
         file.synced = readAll(file);
         file.writes = [];
-        // A new file lasts with its own sync.
+        // The first sync of a new file also makes its name durable.
         if (!this.durableNames.has(path)) this.durableNames.set(path, file);
       }),
       truncate: async (length) => {
@@ -92,17 +92,17 @@
     this.durableNames = new Map(this.names);
   });
 
-  /** Lets the syncs end that are under way. */
+  /** Ends the syncs that are in progress. */
   finishSyncs(): void {
     this.pendingSyncs.splice(0).forEach((finish) => finish());
   }
 
-  /** The process is gone, with its calls that are under way; files stay as they were written. */
+  /** Simulates the end of the process: pending syncs never end, and written data stays. */
   kill(): void {
     this.pendingSyncs = [];
   }
 
-  /** The machine loses power. */
+  /** Simulates a power loss. */
   cutPower(drawWriteState: () => UnsyncedWriteState): void {
     this.kill();
     const paths = [...new Set([...this.names.keys(), ...this.durableNames.keys()])];
--- a/tests/fakes/rawCaller.ts
+++ b/tests/fakes/rawCaller.ts
@@ -3,7 +3,7 @@
 import { parseAnswer } from './parseAnswer';
 import type { ParsedAnswer } from './parseAnswer';
 
-/** What a caller asks for. */
+/** A request of a caller. */
 export interface CallerRequest {
   readonly id: string;
   readonly path: string;
@@ -11,24 +11,24 @@
   readonly body?: string;
 }
 
-/** What a caller got for one request. */
+/** The result of one request of a caller. */
 export interface CallerResult {
-  /** The whole answer; undefined where its connection ended before. */
+  /** The complete answer; undefined if the connection ended before. */
   readonly answer: ParsedAnswer | undefined;
-  /** What came of an answer that is not whole. */
+  /** First bytes of an incomplete answer. */
   readonly partial: string;
-  /** When the last byte of the request was handed over, monotonic milliseconds. */
+  /** When the last byte of the request was written to the socket, monotonic milliseconds. */
   readonly sentAt: number;
-  /** When the answer was whole, or its connection ended. */
+  /** When the answer was complete, or the connection ended, monotonic milliseconds. */
   readonly endedAt: number;
-  /** Why the connection ended, if it did before the answer was whole. */
+  /** Why the connection ended before the answer was complete; empty otherwise. */
   readonly endReason: string;
 }
 
-/** Bytes that a slow writer sends at once, and how often. */
+/** Size and interval of the chunks of a slowly sent body. */
 const CHUNK_BYTES = 16_384;
 const CHUNK_INTERVAL_MS = 5;
-/** Bytes that show how an answer ended: enough for a head. */
+/** Most bytes of an incomplete answer that are reported: enough for its head. */
 const MAX_PARTIAL_BYTES = 300;
 
 const formatRequest = ({
@@ -39,7 +39,7 @@
   return `POST ${path} HTTP/1.1\r\nhost: shop.example\r\n${lines.join('')}\r\n`;
 };
 
-/** One connection of a caller, whose every byte is seen and whose reading can be held. */
+/** A connection of a caller that sees all bytes received and can pause reading. */
 export class RawCaller {
   private readonly socket = new Socket();
 
@@ -64,7 +64,7 @@
     socket.on('close', () => this.recordEnd('closed'));
   }
 
-  /** Resolves once it is connected; rejects where nobody listens. */
+  /** Resolves when it is connected; rejects if no process listens on the address. */
   static open(address: string): Promise<RawCaller> {
     const [host = '', port] = address.split(':');
     const caller = new RawCaller();
@@ -77,12 +77,12 @@
     });
   }
 
-  /** Whether the other end has closed it. */
+  /** Whether the connection has ended. */
   get isEnded(): boolean {
     return this.endedAt > 0;
   }
 
-  /** Reads nothing until it is told to go on. */
+  /** Stops reading until `resumeReading` is called. */
   pauseReading(): void {
     this.socket.pause();
   }
@@ -97,13 +97,13 @@
     return this.waitForAnswer(performance.now());
   }
 
-  /** Sends some requests in one write, and waits for the answer to the first. */
+  /** Sends several requests in one write, and waits for the answer to the first. */
   async sendPipelined(requests: readonly CallerRequest[]): Promise<CallerResult> {
     this.socket.write(requests.map((request) => formatRequest(request) + (request.body ?? '')).join(''));
     return this.waitForAnswer(performance.now());
   }
 
-  /** Sends one with a body that is written piece by piece, and nothing read before it is out. */
+  /** Sends a request whose body is written in chunks, and reads nothing until all are written. */
   async sendSlowly(request: CallerRequest): Promise<CallerResult> {
     this.pauseReading();
     this.socket.write(formatRequest(request));
@@ -113,13 +113,13 @@
     return this.waitForAnswer(sentAt);
   }
 
-  /** The same, and nothing is read until it goes on reading. */
+  /** Sends a request without reading; the caller calls `resumeReading` to receive the answer. */
   sendPaused(request: CallerRequest): Promise<CallerResult> {
     this.pauseReading();
     return this.send(request);
   }
 
-  /** Resolves once the next answer is whole, or the connection has ended. */
+  /** Waits until the next answer is complete or the connection has ended. */
   async waitForAnswer(sentAt: number): Promise<CallerResult> {
     const bytes = Buffer.concat(this.received);
     const complete = parseAnswer(bytes);
--- a/tests/fakes/readBody.ts
+++ b/tests/fakes/readBody.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from 'node:http';
 
-/** Reads the whole body of a request to a stand-in. */
+/** Reads the complete body of a request to a fake server. */
 export const readBody = async (incoming: IncomingMessage): Promise<string> => {
   const chunks: Buffer[] = [];
   // eslint-disable-next-line no-restricted-syntax -- a body is read in order
--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -22,7 +22,7 @@
 const HOST = '127.0.0.1';
 const LEASE_MS = 60_000;
 
-/** A dialect of the tests' own: the relay must not depend on the names of any platform. */
+/** A dialect for tests: the relay must not depend on the header names of a platform. */
 export const testDialect: RequestDialect = {
   readRequest: (headers) => ({
     requestId: findHeader(headers, 'x-id') ?? '',
@@ -43,7 +43,7 @@
   ],
 };
 
-/** An entry over scripted backend servers, without control. */
+/** An entry with scripted backend servers and without control. */
 export class RelayRig {
   readonly metrics = new RelayMetrics();
 
@@ -51,7 +51,7 @@
 
   readonly site: RelaySite;
 
-  /** Asks no leader: the entry chooses by itself unless a test says otherwise. */
+  /** Finds no leader, so the entry chooses servers itself unless a test replaces `findLeader`. */
   readonly placeClient = new PlaceClient({
     entryId: 'e1',
     findLeader: () => undefined,
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Starts servers with the scripts, named w0, w1 and so on, and an entry before them that may go
-   * without some mechanisms.
+   * Starts a server for each script, named w0, w1 and so on, and an entry in front of them.
+   *
+   * @param off mechanisms that the entry does not use
    */
   static async start(
     routing: Routing,
@@ -98,12 +99,12 @@
     return rig;
   }
 
-  /** The server of a number. */
+  /** Finds the server at a position. */
   findServer(position: number): ScriptedServer {
     return this.servers[position] as ScriptedServer;
   }
 
-  /** Requests that all servers together received. */
+  /** All requests that the servers received. */
   get received(): string[] {
     return this.servers.flatMap(({ requests }) => requests);
   }
@@ -112,7 +113,7 @@
     return (this.app?.server.address() as AddressInfo).port;
   }
 
-  /** Sends bytes as they are and collects what comes until the connection ends or it is quiet. */
+  /** Sends raw bytes, and collects what it receives until the connection ends or is idle. */
   send(bytes: string, idleMs = 150): Promise<string> {
     return new Promise((resolve) => {
       const socket = new Socket();
@@ -136,20 +137,20 @@
     await this.app?.close();
   }
 
-  /** Puts another routing in force, with the limits for callers that it sets. */
+  /** Applies a new routing and its caller limits. */
   replaceRouting(routing: Routing): void {
     this.routing = routing;
     this.applyDocument(routing.version);
     if (this.app) applyCallerLimits(this.app, routing.limits);
   }
 
-  /** Tells the entry of a new standing of all servers, and closes connections as it does then. */
+  /** Sets the standing of all servers; `gone` also closes the connections to them. */
   setStanding(standing: string): void {
     this.applyServers(standing);
     this.connections.closeExcept(new Set(standing === 'gone' ? [] : this.servers.map(({ address }) => address)));
   }
 
-  /** Requests that wait for their answer. */
+  /** Counts the requests that have no complete answer yet. */
   async countOpenRequests(): Promise<number> {
     return (await this.metrics.open.get()).values[0]?.value ?? 0;
   }
--- a/tests/fakes/routedSite.ts
+++ b/tests/fakes/routedSite.ts
@@ -19,18 +19,18 @@
 const SERVICE = 'rooms';
 const ANNOUNCE_MS = 200;
 
-/** What a caller of the site got. */
+/** The answer that a caller of the site received. */
 export interface SiteAnswer {
   readonly status: number;
-  /** Name of the result code; empty for an answer of a server. */
+  /** Name of the result code; empty for an answer of a backend server. */
   readonly code: string;
-  /** Milliseconds after which to come back; 0 where none was told. */
+  /** Time after which the caller may retry, in milliseconds; 0 if the answer has none. */
   readonly retryMs: number;
-  /** Whether the body came to its end. */
+  /** Whether the body was received completely. */
   readonly isComplete: boolean;
 }
 
-/** Control, entries and fragile servers of one routed site, in one process, on loopback. */
+/** Control, entries and fragile servers of a routed site: one process, connected by loopback. */
 export class RoutedSite {
   readonly control: ControlSite;
 
@@ -61,7 +61,7 @@
     return site;
   }
 
-  /** When requests that end servers arrived at one, oldest first. */
+  /** When requests that crash servers arrived at a server, oldest first, monotonic milliseconds. */
   get fatalTimes(): number[] {
     return this.servers.flatMap(({ fatalTimes }) => fatalTimes).sort((a, b) => a - b);
   }
@@ -74,12 +74,12 @@
     return this.entries.length;
   }
 
-  /** Requests that the leader watches or refuses. */
+  /** Lists the requests that the leader watches or refuses. */
   async listSuspects(): Promise<readonly SuspectRecord[]> {
     return this.control.findNode(await this.control.waitForLeader()).suspects.listSuspects();
   }
 
-  /** Adds servers with the scripts, named s0, s1 and so on, that announce themselves. */
+  /** Adds a server for each script, named s0, s1 and so on, and sends their announcements. */
   async addScripted(...scripts: readonly ServerScript[]): Promise<void> {
     const servers = scripts.map((script) => new ScriptedServer(script));
     this.scripted.push(...servers);
@@ -91,7 +91,8 @@
   }
 
   async addServers(count: number, keepsId = false): Promise<void> {
-    const announce = (announcement: WorkerAnnouncement): Promise<void> => this.announce(announcement);
+    const announce = (announcement: WorkerAnnouncement): Promise<void> => (
+      this.announce(announcement));
     this.servers.push(...await Promise.all(Array.from(
       { length: count },
       (unused, position) => FragileServer.start(`w${position}`, SERVICE, announce, keepsId),
@@ -99,7 +100,7 @@
     await this.waitForServers(count);
   }
 
-  /** Starts one more entry, and resolves with its number once it serves. */
+  /** Starts another entry; resolves with its position when it is active. */
   async addEntry(): Promise<number> {
     const address = await findFreeAddress();
     const relay = startRelay({
@@ -117,11 +118,11 @@
     });
     const [host = '', port] = address.split(':');
     await relay.app.listen({ host, port: Number(port) });
-    await waitFor(() => relay.site.state === 'active', 'the entry serves');
+    await waitFor(() => relay.site.state === 'active', 'the entry is active');
     return this.entries.push({ relay, address }) - 1;
   }
 
-  /** Sends a request to an entry, under an id of its own. */
+  /** Sends a request with a unique id to an entry. */
   async send(entry: number, body: string): Promise<SiteAnswer> {
     const address = this.entries[entry % this.entryCount]?.address ?? '';
     const answer = await request(`http://${address}/orders/7`, {
@@ -139,7 +140,7 @@
     const isEntryAnswer = answer.headers['content-type'] === 'application/json';
     const { error } = isEntryAnswer && isComplete ? JSON.parse(text) as { error: { name: string; retryAfterMs?: number } } : { error: { name: '' } };
     return {
-      status: answer.statusCode, code: error.name, retryMs: error.retryAfterMs ?? 0, isComplete: isComplete,
+      status: answer.statusCode, code: error.name, retryMs: error.retryAfterMs ?? 0, isComplete,
     };
   }
 
@@ -158,7 +159,7 @@
     const announcement = WorkerAnnouncement.fromPartial({
       workerId: `s${position}`, service: SERVICE, address, zone: 'a', slots: 6, state: 'ready', sequence: this.announcementCount, born: 1,
     });
-    this.announce(announcement).catch(() => undefined); // Said again in a moment.
+    this.announce(announcement).catch(() => undefined); // The next announcement follows soon.
   }
 
   private async announce(announcement: WorkerAnnouncement): Promise<void> {
@@ -168,6 +169,6 @@
 
   private async waitForServers(count: number): Promise<void> {
     await waitFor(() => this.entries.every(({ relay }) => (
-      (relay.site.workers.byService.get(SERVICE)?.length ?? 0) >= count)), 'entries know the servers');
+      (relay.site.workers.byService.get(SERVICE)?.length ?? 0) >= count)), 'all entries list the servers');
   }
 }
--- a/tests/fakes/routings.ts
+++ b/tests/fakes/routings.ts
@@ -1,6 +1,6 @@
 import type { Route, RoutedAccount, Routing } from '../../src/manifest/routing';
 
-/** A route of the host shop.example to the service rooms, with changes. */
+/** Makes a route of the host shop.example to the service rooms; `changes` replaces fields. */
 export const makeRoute = (changes: Partial<Route>): Route => ({
   name: 'r',
   host: 'shop.example',
@@ -16,7 +16,7 @@
   ...changes,
 });
 
-/** An account with the key k1, with changes. */
+/** Makes an account with the key k1; `changes` replaces fields. */
 export const makeAccount = (changes: Partial<RoutedAccount>): RoutedAccount => ({
   name: 'lobby',
   keys: ['k1'],
@@ -28,7 +28,7 @@
   ...changes,
 });
 
-/** A routing with one route, one service and one account, with changes. */
+/** Makes a routing with one route, one service and one account; `changes` replaces fields. */
 export const makeRouting = (changes: Partial<Routing>): Routing => ({
   version: 1,
   routes: [makeRoute({})],
--- a/tests/fakes/runSearch.ts
+++ b/tests/fakes/runSearch.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import type { IAsyncProperty, IProperty, RunDetails } from 'fast-check';
 
-/** Seconds that each search may take; 0 for the short one of every test run. */
+/** Duration of each search in seconds; 0 for the fixed number of runs. */
 const SEARCH_SECONDS = Number(process.env.BEECHLIFT_FUZZ_SECONDS ?? 0);
 
-/** How a search runs as part of every test run. */
+/** Number of runs and seed of a search in a normal test run. */
 export interface ShortSearch {
   readonly runs: number;
   readonly seed: number;
@@ -15,7 +15,7 @@
     ? { numRuns: Number.MAX_SAFE_INTEGER, interruptAfterTimeLimit: SEARCH_SECONDS * 1_000 }
     : { numRuns: runs, seed });
 
-/** Throws the counterexample, or tells how far a search came. */
+/** Throws the counterexample if there is one; returns the number of runs otherwise. */
 const reportResult = <Arguments>(details: RunDetails<Arguments>): number => {
   if (details.counterexample !== null) {
     throw new Error(fc.defaultReportMessage(details), { cause: details.errorInstance });
@@ -26,11 +26,11 @@
 };
 
 /**
- * Searches for a counterexample: a fixed number of runs from a fixed seed in every test run, or,
- * with BEECHLIFT_FUZZ_SECONDS, for that long from a fresh seed, which is printed. Time that is over
- * is no failure.
+ * Searches for a counterexample. A normal test run makes a fixed number of runs with a fixed seed.
+ * With BEECHLIFT_FUZZ_SECONDS, the search uses a random seed, which it prints, and ends without a
+ * failure when this time is over.
  *
- * @returns the runs that were made
+ * @returns the number of runs
  * @example
  * const runs = runSearch(fc.property(fc.nat(), check), { runs: 150, seed: 4_711 });
  */
@@ -40,7 +40,7 @@
 ): number => (
   reportResult(fc.check(property, buildParameters<Arguments>(defaults))));
 
-/** The same for a property that is decided later. */
+/** Like `runSearch`, for an asynchronous property. */
 export const runSearchAsync = async <Arguments>(
   property: IAsyncProperty<Arguments>,
   defaults: ShortSearch,
--- a/tests/fakes/scriptedServer.ts
+++ b/tests/fakes/scriptedServer.ts
@@ -3,10 +3,10 @@
 
 const HOST = '127.0.0.1';
 
-/** What a backend server of a test does with the bytes of a request. */
+/** Handles the bytes of a request that a scripted server received. */
 export type ServerScript = (socket: Socket, request: string, count: number) => void;
 
-/** Writes a plain answer with a length. */
+/** Writes a complete answer with a content-length. */
 export const sendAnswer = (
   socket: Socket,
   id: string,
@@ -17,12 +17,12 @@
   socket.write(`HTTP/1.1 ${status} X\r\nx-id: ${id}\r\n${extraHeaders}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 };
 
-/** A backend server whose every byte is the test's. */
+/** A backend server whose script writes the raw bytes of each answer. */
 export class ScriptedServer {
-  /** Requests as they came. */
+  /** Raw requests in the order of their arrival. */
   readonly requests: string[] = [];
 
-  /** Sockets that the other end closed. */
+  /** Number of closed connections. */
   closedCount = 0;
 
   private readonly server: Server;
@@ -33,7 +33,7 @@
     this.server = createServer((socket) => this.serve(socket));
   }
 
-  /** Where it listens. */
+  /** Address on which it listens. */
   get address(): string {
     return `${HOST}:${(this.server.address() as AddressInfo).port}`;
   }
--- a/tests/fakes/sheddingCalls.ts
+++ b/tests/fakes/sheddingCalls.ts
@@ -4,10 +4,10 @@
 import type { ServerScript } from './scriptedServer';
 import type { SheddingAnswer } from './sheddingServer';
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface CallerAnswer {
   readonly status: number;
-  /** Milliseconds after which to come back; 0 where none was told. */
+  /** Time after which the caller may retry, in milliseconds; 0 if the answer has none. */
   readonly retryMs: number;
 }
 
@@ -19,16 +19,16 @@
   retryMs: 1_000 * Number(/retry-after: ([\d.]+)/i.exec(text)?.[1] ?? 0),
 });
 
-/** Answers of a server that takes all. */
+/** Answers every request without a backoff: the server sheds no load. */
 export const serveAll = (): SheddingAnswer => ({});
 
-/** Starts servers with the scripts, and an entry whose one route leads to them. */
+/** Starts a server for each script, and an entry with one route to them. */
 export const startRig = (
   route: Partial<Route>,
   scripts: readonly ServerScript[],
 ): Promise<RelayRig> => (
   RelayRig.start(makeRouting({ routes: [makeRoute(route)] }), scripts));
 
-/** Sends one request to the entry. */
+/** Sends a request to the entry and returns its answer. */
 export const sendRequest = async (rig: RelayRig): Promise<CallerAnswer> => (
   readAnswer(await rig.send(REQUEST, MAX_IDLE_MS)));
--- a/tests/fakes/sheddingServer.ts
+++ b/tests/fakes/sheddingServer.ts
@@ -1,17 +1,17 @@
 import type { ServerScript } from './scriptedServer';
 import { sendAnswer } from './scriptedServer';
 
-/** How a shedding server answers one request. */
+/** Answer of a shedding server to one request. */
 export interface SheddingAnswer {
   readonly status?: number;
-  /** Milliseconds of rest that it asks for. */
+  /** Duration of the backoff that it asks for, in milliseconds. */
   readonly restMs?: number;
   readonly delayMs?: number;
-  /** Whether it says that it leaves. */
+  /** Whether the answer announces that the server leaves. */
   readonly isLeaving?: boolean;
 }
 
-/** Something that happened between the server and one entry. */
+/** An event between the server and one entry. */
 interface EntryEvent {
   readonly entry: string;
   readonly at: number;
@@ -21,7 +21,7 @@
   readonly until: number;
 }
 
-/** The usual time of an answer and of a request that met it on the way, in milliseconds. */
+/** Time in which requests sent before an answer was received may arrive, in milliseconds. */
 const IN_FLIGHT_MS = 60;
 
 const formatNotices = ({ status = 200, restMs = 0, isLeaving = false }: SheddingAnswer): string => [
@@ -31,24 +31,25 @@
 ].join('');
 
 /**
- * A script of a server that turns some requests away and asks for rest, and keeps the times.
+ * Script of a server that sheds load: it refuses some requests, asks for backoffs, and records when
+ * requests arrived.
  *
  * @example
  * const server = new SheddingServer(() => ({ status: 503, restMs: 1_000 }));
  * await RelayRig.start(routing, [server.script]);
  */
 export class SheddingServer {
-  /** When requests arrived, monotonic milliseconds. */
+  /** Requests that arrived, with the time in monotonic milliseconds. */
   readonly arrivals: EntryEvent[] = [];
 
-  /** When each entry was first told that it leaves. */
+  /** First answer to each entry that announced that the server leaves. */
   private readonly leaveNotices: EntryEvent[] = [];
 
   private readonly backoffs: BackoffPeriod[] = [];
 
   /**
-   * @param makeAnswer answers the request of a number, which counts from one
-   * @param inFlightMs how long what was on its way may still arrive
+   * @param makeAnswer makes the answer to a request; the first request has the number 1
+   * @param inFlightMs time in which requests that were already in flight may still arrive
    */
   constructor(
     private readonly makeAnswer: (count: number) => SheddingAnswer,
@@ -66,18 +67,18 @@
     }, answer.delayMs ?? 0);
   };
 
-  /** Most requests of an entry that arrived within one of the rests that it was asked for. */
+  /** Most requests of one entry that arrived during one backoff. */
   get maxDuringBackoff(): number {
     return Math.max(0, ...this.backoffs.map((rest) => this.countBetween(rest)));
   }
 
-  /** Requests that arrived from entries which had been told that it leaves. */
+  /** Number of requests from entries that were already informed that the server leaves. */
   get countAfterLeaving(): number {
     return this.leaveNotices
       .reduce((sum, farewell) => sum + this.countBetween({ ...farewell, until: Infinity }), 0);
   }
 
-  /** Whether any entry was told that it leaves. */
+  /** Whether an answer announced that the server leaves. */
   get hasAnnouncedLeaving(): boolean {
     return this.leaveNotices.length > 0;
   }
--- a/tests/fakes/silentProxy.ts
+++ b/tests/fakes/silentProxy.ts
@@ -1,17 +1,17 @@
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 
-/** A device between two ends that counts, and loses track of open connections on demand. */
+/** A TCP proxy that counts connections and chunks, and drops the traffic of open connections. */
 export class SilentProxy {
   address = '';
 
-  /** Connections since the start. */
+  /** Number of connections since the start. */
   connectionCount = 0;
 
-  /** Pieces of bytes that passed either way. */
+  /** Number of chunks in both directions. */
   chunkCount = 0;
 
-  /** Refuses everything: the two ends are cut off from one another. */
+  /** Whether it closes all new connections: simulates a network partition. */
   isPartitioned = false;
 
   private readonly server: Server;
@@ -29,7 +29,7 @@
     this.address = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** From now on nothing passes over the connections that are open; they are not closed. */
+  /** Drops all further traffic of the open connections without closing them. */
   dropTraffic(): void {
     this.sockets.forEach((socket) => {
       socket.unpipe();
@@ -40,7 +40,7 @@
     this.sockets.clear();
   }
 
-  /** Cuts the two ends off, or lets them reach one another again. */
+  /** Starts or ends a network partition between both ends. */
   setPartitioned(isPartitioned: boolean): void {
     this.isPartitioned = isPartitioned;
     if (isPartitioned) this.dropTraffic();
--- a/tests/fakes/stoppingCalls.ts
+++ b/tests/fakes/stoppingCalls.ts
@@ -5,23 +5,27 @@
 import type { StoppingRoute } from './stoppingRoutes';
 import type { StoppingSite } from './stoppingSite';
 
-/** Time of an answer that is soon whole. */
+/** Duration of a short answer, in milliseconds. */
 export const SHORT_ANSWER_MS = 20;
-/** Time in which a request that was sent has reached a server. */
+/** Time in which a request reaches a backend server, in milliseconds. */
 export const MAX_DELIVERY_MS = 100;
 const MAX_WAIT_MS = 20_000;
 
-/** Headers by which a request tells its server how to answer. */
+/** Request headers that set how the server answers. */
 export type AnswerHeaders = Readonly<Record<string, string | number>>;
 
-/** Makes a request for a route, under an id of its own. */
+/** Makes a request with a unique id for a route. */
 type RequestMaker = (route: StoppingRoute, headers?: AnswerHeaders) => CallerRequest;
 
-/** Sends one, on a new connection unless one is given. */
-type RequestSender = (route: StoppingRoute, headers?: AnswerHeaders, caller?: RawCaller) => Promise<CallerResult>;
+/** Sends a request over the given connection, or over a new one. */
+type RequestSender = (
+  route: StoppingRoute,
+  headers?: AnswerHeaders,
+  caller?: RawCaller,
+) => Promise<CallerResult>;
 
 /**
- * Calls to the entry of a site.
+ * Makes functions that send requests to the entry of a site.
  *
  * @example
  * const { askFor } = makeStoppingCalls(() => site);
@@ -40,10 +44,10 @@
   };
   const sendTo: RequestSender = async (route, headers, caller) => (
     (caller ?? await getSite().open()).send(makeRequest(route, headers)));
-  return { makeRequest, sendTo: sendTo };
+  return { makeRequest, sendTo };
 };
 
-/** A refusal that is the entry's own, whole and true: it says when to come back and to go. */
+/** Expects a complete refusal by the entry, with Retry-After and `connection: close`. */
 export const checkRefused = ({ answer, ...rest }: CallerResult): void => {
   expect(answer, JSON.stringify(rest)).toBeDefined();
   const { status, headers, body } = answer as ParsedAnswer;
@@ -52,7 +56,7 @@
   expect(headers).toMatchObject({ connection: 'close', 'retry-after': expect.any(String) });
 };
 
-/** An answer of a status. */
+/** Expects an answer with this status. */
 export const checkStatus = ({ answer, ...rest }: CallerResult, status: number): void => {
   expect(answer?.status, JSON.stringify(rest)).toBe(status);
 };
--- a/tests/fakes/stoppingPlan.ts
+++ b/tests/fakes/stoppingPlan.ts
@@ -1,10 +1,10 @@
 import type { Route, Routing } from '../../src/manifest/routing';
 import { makeRoute } from './routings';
 
-/** Services are told apart by how long their answers take. */
+/** Duration class of an answer; each class has its own services. */
 export type AnswerLength = 'quick' | 'medium' | 'slow';
 
-/** Kinds of requests by whether and where they may run again. */
+/** Kind of a request: whether it may be repeated, and whether its answer is a stream. */
 export type RequestKind = 'plain' | 'once' | 'stream' | 'resumable';
 
 /** One request of a schedule. */
@@ -14,25 +14,25 @@
   readonly entry: number;
   readonly length: AnswerLength;
   readonly kind: RequestKind;
-  /** Place of its answer between the shortest and the longest of its service, 0 to 1. */
+  /** Position of the duration between the shortest and the longest of its service, 0 to 1. */
   readonly share: number;
-  /** Number of a connection that is kept; undefined for a new one. */
+  /** Number of the reused connection; undefined for a new one. */
   readonly kept: number | undefined;
-  /** How long its caller reads nothing, in milliseconds. */
+  /** How long its caller pauses reading, in milliseconds. */
   readonly holdMs: number;
-  /** Whether its caller tells the length of a stream. */
+  /** Whether its caller sends the length of a stream. */
   readonly tellsLength: boolean;
-  /** Size of a plain answer. */
+  /** Size of a plain answer, in bytes. */
   readonly bytes: number;
 }
 
-/** What becomes of the document in the middle. */
+/** Change of the routing document during the run. */
 export type DocumentChange = 'none' | 'idleTimeout' | 'dropRoutes';
 
-/** A schedule around the stop of some entries. */
+/** A schedule of requests around the shutdown of some entries. */
 export interface StoppingPlan {
   readonly entries: number;
-  /** Between the signal to one entry and to the next, in milliseconds. */
+  /** Time between the signals to two successive entries, in milliseconds. */
   readonly staggerMs: number;
   readonly change: DocumentChange;
   /** When the document changes, relative to the first signal, in milliseconds. */
@@ -40,9 +40,9 @@
   readonly requests: readonly PlannedRequest[];
 }
 
-/** Lengths of a schedule. */
+/** All duration classes. */
 export const LENGTHS: readonly AnswerLength[] = ['quick', 'medium', 'slow'];
-/** Kinds of a schedule. */
+/** All kinds of requests. */
 export const KINDS: readonly RequestKind[] = ['plain', 'once', 'stream', 'resumable'];
 
 /** Shortest and longest answer of each service, in milliseconds. */
@@ -59,7 +59,7 @@
   resumable: { kind: 'stream', isResumable: true },
 };
 
-/** Some end before the entry does, so that their requests are taken after the signal too. */
+/** Some are shorter than the grace period, so requests are also accepted after the signal. */
 const timeouts: Record<AnswerLength, number> = { quick: 700, medium: 900, slow: 20_000 };
 
 const SHORT_IDLE_MS = 200;
@@ -67,37 +67,37 @@
   headerBytes: 16_384, bodyBytes: 1_000_000, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000,
 };
 
-/** How long a server takes over a request. */
+/** Duration of the answer to a request, in milliseconds. */
 export const computeDurationMs = ({ length, share }: Pick<PlannedRequest, 'length' | 'share'>): number => {
   const [shortest, longest] = durationBounds[length];
   return Math.round(shortest + share * (longest - shortest));
 };
 
-/** Whether a request has used up the time that its route allows. */
+/** Whether a request has exceeded the timeout of its route. */
 export const isExpired = ({ length }: Pick<PlannedRequest, 'length'>, tookMs: number): boolean => (
   tookMs >= timeouts[length]);
 
-/** Whether a kind is answered event by event. */
+/** Whether requests of a kind are answered with an event stream. */
 export const isStream = (kind: RequestKind): boolean => kind === 'stream' || kind === 'resumable';
 
-/** Streams and plain answers come from services of their own. */
+/** Streams and plain answers have separate services. */
 const nameService = (length: AnswerLength, kind: RequestKind): string => (
   isStream(kind) ? `${length}-streams` : length);
 
-/** Services of a schedule. */
+/** All services. */
 export const SERVICES: readonly string[] = [
   ...new Set(LENGTHS.flatMap((length) => KINDS.map((kind) => nameService(length, kind)))),
 ];
 
-/** The path of a request. */
+/** Formats the path of a request. */
 export const formatPath = ({ length, kind }: Pick<PlannedRequest, 'length' | 'kind'>): string => (
   `/${length}-${kind}/7`);
 
-/** Whether a service is dropped by a change of the document. */
+/** Whether a change of the document removes the routes of a duration class. */
 export const isServiceRemoved = (change: DocumentChange, length: AnswerLength): boolean => (
   change === 'dropRoutes' && length === 'medium');
 
-/** The routing that is in force after a change; the first one after none. */
+/** Makes the routing after a change; `none` gives the initial one. */
 export const makePlanRouting = (change: DocumentChange): Partial<Routing> => ({
   routes: LENGTHS.filter((length) => !isServiceRemoved(change, length)).flatMap((length) => (
     KINDS.map((kind) => makeRoute({
--- a/tests/fakes/stoppingRoutes.ts
+++ b/tests/fakes/stoppingRoutes.ts
@@ -1,7 +1,7 @@
 import type { Route, Routing } from '../../src/manifest/routing';
 import { makeRoute } from './routings';
 
-/** Routes of an entry that stops, whose names and limits tell how long their answers take. */
+/** Routes of an entry that shuts down; they differ in kind and in the duration of answers. */
 export type StoppingRoute = 'brief' | 'briefOnce' | 'long' | 'longOnce' | 'stream' | 'resumable';
 
 const BRIEF_TIMEOUT_MS = 500;
@@ -21,11 +21,11 @@
   resumable: { ...long, kind: 'stream', isResumable: true },
 };
 
-/** The path under which a route is asked. */
+/** Formats a path of a route. */
 export const formatRoutePath = (route: StoppingRoute): string => `/${route}/7`;
 
 /**
- * Makes the changes by which a routing has one route of each kind.
+ * Makes the fields of a routing that has one route of each kind.
  *
  * @example
  * const site = await StoppingSite.start({ routing: makeStoppingRouting() });
--- a/tests/fakes/stoppingRun.ts
+++ b/tests/fakes/stoppingRun.ts
@@ -2,8 +2,8 @@
 import { countEvents, formatEvents } from './pacedServer';
 import type { CallerResult, RawCaller } from './rawCaller';
 import {
-  computeDurationMs, formatPath, isServiceRemoved, isExpired, isStream, KINDS, LENGTHS, makePlanRouting,
-  SERVICES,
+  computeDurationMs, formatPath, isServiceRemoved, isExpired, isStream, KINDS, LENGTHS,
+  makePlanRouting, SERVICES,
 } from './stoppingPlan';
 import type { PlannedRequest, StoppingPlan } from './stoppingPlan';
 import { GRACE_MS, StoppingSite, TOKENS_HEADER } from './stoppingSite';
@@ -11,43 +11,43 @@
 const SERVERS = 2;
 const MAX_WAIT_MS = 15_000;
 const WARM_UP_SHARES = [0, 0.3, 0.7, 1];
-/** Time before the first signal in which the entries learn and requests may come. */
+/** Time before the first signal in which requests may be sent, in milliseconds. */
 const LEAD_TIME_MS = 450;
-/** A connection that ends so soon after a request has crossed its close, in milliseconds. */
+/** If a connection ends within this time after a request, both crossed, in milliseconds. */
 const CLOSE_RACE_MS = 200;
-/** Time in which a request that was sent reaches the entry, on a busy machine. */
+/** Time in which a request reaches the entry on a busy machine, in milliseconds. */
 const MAX_DELIVERY_MS = 30;
-/** Parts of the grace before which no answer ends, and until which slow readers hold. */
+/** Shares of the grace period: no answer is aborted before, and readers pause at most until. */
 const END_SHARE = 0.8;
 const PAUSE_SHARE = 0.7;
-/** Plain answers up to this size come whole or not at all. */
+/** Plain answers up to this size are buffered: a caller receives all of one or nothing. */
 const BUFFERED_BYTES = 65_536;
-/** Time in which a server would still receive what was refused, in milliseconds. */
+/** Time in which a server would receive a request that was wrongly refused, in milliseconds. */
 const SETTLE_MS = 150;
 
-/** What came of one request. */
+/** Outcome of one request. */
 interface Outcome {
   readonly planned: PlannedRequest;
   readonly id: string;
-  /** Undefined where nobody took the connection. */
+  /** Undefined if the connection was refused. */
   readonly result: CallerResult | undefined;
 }
 
-/** Names what is wrong with an outcome; empty where nothing is. */
+/** Returns the fault of an outcome; empty if it is correct. */
 type OutcomeCheck = (outcome: Outcome, result: CallerResult) => string;
 
-/** One schedule around the stop of entries, and what must hold of its answers. */
+/** Runs a schedule of requests around the shutdown of entries, and checks all outcomes. */
 export class StoppingRun {
   private readonly outcomes: Outcome[] = [];
 
-  /** When each entry got its signal, monotonic milliseconds. */
+  /** When each entry received its signal, monotonic milliseconds. */
   private readonly stopTimes: number[] = [];
 
   private readonly kept = new Map<string, Promise<RawCaller | undefined>>();
 
   private constructor(private readonly plan: StoppingPlan, private readonly site: StoppingSite) {}
 
-  /** Performs a schedule; resolves with all that is wrong. */
+  /** Runs a schedule; resolves with all faults. */
   static async perform(plan: StoppingPlan): Promise<string[]> {
     const site = await StoppingSite.start({
       routing: makePlanRouting('none'), entries: plan.entries, servers: SERVERS, services: SERVICES,
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Lets each entry learn how long the answers of each service take. */
+  /** Sends requests so that each entry records the answer times of all services. */
   private async warmUp(): Promise<void> {
     const entries = Array.from({ length: this.plan.entries }, (unused, entry) => entry);
     const requests = entries.flatMap((entry) => LENGTHS.flatMap((length) => (
@@ -110,7 +110,7 @@
     await sent;
   }
 
-  /** Asks on a connection, or on a new one where that has ended. */
+  /** Sends a request over a connection, or over a new one if that has ended. */
   private async sendOnConnection(
     caller: RawCaller | undefined,
     planned: PlannedRequest,
@@ -170,7 +170,7 @@
 
   private checkRunCount({ planned: { kind }, id }: Outcome): string {
     const isOnce = kind === 'once' || kind === 'stream';
-    return isOnce && this.site.countRuns(id) > 1 ? 'ran twice' : '';
+    return isOnce && this.site.countRuns(id) > 1 ? 'ran more than once' : '';
   }
 
   private checkResult(outcome: Outcome, result: CallerResult): string {
@@ -183,39 +183,43 @@
       504: this.checkTimeout,
     };
     const check = checks[result.answer.status];
-    return check ? check(outcome, result) : `status ${result.answer.status} without a reason`;
+    return check ? check(outcome, result) : `status ${result.answer.status} not expected`;
   }
 
   private readonly checkComplete: OutcomeCheck = ({ planned }, { answer }) => {
     const expected = isStream(planned.kind)
       ? formatEvents(countEvents(computeDurationMs(planned)))
       : 'x'.repeat(planned.bytes);
-    return answer?.body === expected ? '' : 'another body';
+    return answer?.body === expected ? '' : 'the body is not the expected one';
   };
 
   private readonly checkUnknownRoute: OutcomeCheck = ({ planned: { length } }) => (
-    isServiceRemoved(this.plan.change, length) ? '' : 'no route');
+    isServiceRemoved(this.plan.change, length) ? '' : 'no route was found, but the document has one');
 
   private readonly checkUnknownOutcome: OutcomeCheck = ({ planned }, { endedAt }) => (
-    endedAt >= this.findStop(planned) + END_SHARE * GRACE_MS ? '' : 'given up before the end');
+    endedAt >= this.findStop(planned) + END_SHARE * GRACE_MS ? '' : 'aborted before the end of the grace period');
 
   private readonly checkTimeout: OutcomeCheck = ({ planned }, { sentAt, endedAt }) => (
-    isExpired(planned, endedAt - sentAt) ? '' : 'given up before its time was over');
+    isExpired(planned, endedAt - sentAt) ? '' : 'timed out before the timeout of its route');
 
   private readonly checkRefusal: OutcomeCheck = ({ planned, id }, { answer, endedAt }) => {
-    if (this.site.countRuns(id) > 0) return 'refused as not run, and ran';
-    if (answer?.headers['retry-after'] === undefined) return 'refused without a time to come back';
+    if (this.site.countRuns(id) > 0) return 'refused as not run, but it ran';
+    if (answer?.headers['retry-after'] === undefined) return 'refused without retry-after';
     const stop = this.findStop(planned);
     const isLate = endedAt > stop + MAX_DELIVERY_MS;
-    if (isLate && answer.headers.connection !== 'close') return 'refused on a connection that is kept';
+    if (isLate && answer.headers.connection !== 'close') return 'refused without connection: close';
     return endedAt < stop ? 'refused before the signal' : '';
   };
 
   /**
-   * Nothing is cut but what crosses a close, late answers, and answers of before the signal that
-   * were passed on as they came.
+   * An answer may be incomplete only in three cases: the request crossed the close of its
+   * connection, the route's timeout expired, or the request was sent before the signal and its
+   * answer was already being forwarded when the grace period ended.
    */
-  private checkIncomplete({ planned, id }: Outcome, { sentAt, endedAt, partial }: CallerResult): string {
+  private checkIncomplete(
+    { planned, id }: Outcome,
+    { sentAt, endedAt, partial }: CallerResult,
+  ): string {
     if (partial !== '' && isExpired(planned, endedAt - sentAt)) return '';
     const hasRun = this.site.countRuns(id) > 0;
     if (!hasRun && partial === '' && endedAt - sentAt <= CLOSE_RACE_MS) return '';
@@ -224,6 +228,6 @@
     const isAtEnd = endedAt >= stop + END_SHARE * GRACE_MS;
     const isForwarded = isStream(planned.kind) || planned.bytes > BUFFERED_BYTES;
     const hasStarted = isForwarded && partial !== '';
-    return wasSentBeforeStop && isAtEnd && hasStarted ? '' : 'cut';
+    return wasSentBeforeStop && isAtEnd && hasStarted ? '' : 'the answer is incomplete';
   }
 }
--- a/tests/fakes/stoppingSite.ts
+++ b/tests/fakes/stoppingSite.ts
@@ -15,14 +15,14 @@
 import { testDialect } from './relayRig';
 import { makeRouting } from './routings';
 
-/** How long callers are served after the signal as before, in milliseconds. */
+/** Time after the signal in which an entry serves callers as before, in milliseconds. */
 export const LOCATE_MS = 300;
-/** How long a stop may take, in milliseconds. */
+/** Maximum duration of a shutdown, in milliseconds. */
 export const GRACE_MS = 1_200;
 const LEASE_MS = 60_000;
 const SLOTS = 100;
 const SERVICE = 'rooms';
-/** Header that tells how many events a stream will have. */
+/** Header with the number of events of a stream. */
 export const TOKENS_HEADER = 'x-tokens';
 const PROMPT_TOKENS = 10;
 
@@ -38,22 +38,22 @@
   readRequest: (headers) => ({ ...testDialect.readRequest(headers), tokens: readTokens(headers) }),
 };
 
-/** How a site of entries that stop is made. */
+/** Options of a stopping site. */
 export interface StoppingSiteOptions {
   readonly routing?: Partial<Routing>;
   readonly entries?: number;
-  /** Backend servers of each service. */
+  /** Number of backend servers of each service. */
   readonly servers?: number;
   readonly services?: readonly string[];
-  /** Whether entries have a lease from the beginning. */
+  /** Whether entries have a lease from the start; defaults to true. */
   readonly hasLease?: boolean;
-  /** Whether there is a leader that holds all questions for places. */
+  /** Whether a leader holds all slot requests; without it there is no leader. */
   readonly holdsSlotRequests?: boolean;
-  /** How long a stop may take, in milliseconds. */
+  /** Maximum duration of a shutdown, in milliseconds; defaults to `GRACE_MS`. */
   readonly graceMs?: number;
 }
 
-/** Entries before paced servers, each of which can be ended as a signal to its process ends it. */
+/** Entries in front of paced servers. Each entry can be shut down as if by a signal. */
 export class StoppingSite {
   readonly servers: PacedServer[] = [];
 
@@ -70,7 +70,9 @@
   private version = 1;
 
   private constructor(private options: StoppingSiteOptions) {
-    if (options.holdsSlotRequests) this.leader = new HoldingLeader((address) => this.makeReply(address));
+    if (options.holdsSlotRequests) {
+      this.leader = new HoldingLeader((address) => this.makeReply(address));
+    }
   }
 
   static async start(options: StoppingSiteOptions = {}): Promise<StoppingSite> {
@@ -84,44 +86,44 @@
     return site;
   }
 
-  /** Ids of the requests that the servers began to run. */
+  /** Ids of the requests that the servers started to run. */
   get runs(): string[] {
     return this.servers.flatMap(({ runs }) => runs);
   }
 
-  /** Times that the servers began to run a request. */
+  /** Counts how often the servers started to run a request. */
   countRuns(id: string): number {
     return this.runs.filter((run) => run === id).length;
   }
 
-  /** A new connection of a caller to an entry. */
+  /** Opens a connection of a caller to an entry. */
   async open(entry = 0): Promise<RawCaller> {
     const caller = await RawCaller.open(this.addresses[entry] ?? '');
     this.callers.push(caller);
     return caller;
   }
 
-  /** Bytes that wait in an entry's connections to callers. */
+  /** Counts the bytes buffered in an entry's connections to callers. */
   countWaitingBytes(entry = 0): number {
     return [...this.sockets[entry] ?? []]
       .reduce((sum, { writableLength }) => sum + writableLength, 0);
   }
 
-  /** Puts a changed document in force. */
+  /** Applies a changed routing document. */
   replaceRouting(routing: Partial<Routing>): void {
     this.version += 1;
     this.options = { ...this.options, routing };
     this.relays.forEach((relay) => this.grantLease(relay));
   }
 
-  /** Stops an entry, and ends all that is left of it once it says that it has ended. */
+  /** Shuts an entry down, and then closes its remaining connections and its port. */
   async stop(entry = 0): Promise<void> {
     await this.relays[entry]?.shutDown();
     this.sockets[entry]?.forEach((socket) => socket.destroy());
     this.relays[entry]?.app.server.close();
   }
 
-  /** Ends all that the test left. */
+  /** Stops all processes and connections that are still open. */
   async close(): Promise<void> {
     this.callers.forEach((caller) => caller.close());
     this.servers.forEach((server) => server.close());
@@ -132,7 +134,7 @@
     this.leader?.close();
   }
 
-  /** Gives an entry its lease on the document. */
+  /** Grants an entry a lease on the current document. */
   grantLease({ site }: RunningRelay): void {
     site.applyReply(this.makeReply(''), systemClock.now(), new SuspensionDetector().readEpoch());
   }
@@ -160,7 +162,7 @@
     const [host = '', port] = address.split(':');
     await relay.app.listen({ host, port: Number(port) });
     if (!this.leader && (this.options.hasLease ?? true)) this.grantLease(relay);
-    if (this.leader) await waitFor(() => relay.site.state === 'active', 'the entry serves');
+    if (this.leader) await waitFor(() => relay.site.state === 'active', 'the entry is active');
     this.addresses.push(address);
     this.sockets.push(sockets);
     this.relays.push(relay);
--- a/tests/fakes/testSite.ts
+++ b/tests/fakes/testSite.ts
@@ -23,7 +23,7 @@
 
 export const hashKey = (key: string): string => createHash('sha256').update(key).digest('hex');
 
-/** Waits for an event that shows from outside; fails loudly when it does not come. */
+/** Waits until a condition holds; throws after `WAIT_MS`. Errors of `isTrue` count as false. */
 export const waitUntil = async (
   description: string,
   isTrue: () => Promise<boolean> | boolean,
@@ -31,14 +31,14 @@
   const deadline = performance.now() + WAIT_MS;
   const poll = async (): Promise<void> => {
     if (await Promise.resolve().then(isTrue).catch(() => false)) return;
-    if (performance.now() > deadline) throw new Error(`did not happen in ${WAIT_MS} ms: ${description}`);
+    if (performance.now() > deadline) throw new Error(`timed out after ${WAIT_MS} ms waiting for: ${description}`);
     await pause(POLL_MS);
     await poll();
   };
   await poll();
 };
 
-/** A manifest that fits the site; sections may be replaced. */
+/** Makes a manifest for the site; `sections` replaces sections. */
 export const makeManifest = (version: number, sections: object = {}): object => ({
   version,
   operators: { pipeline: { keyHash: hashKey(OPERATOR_KEY) } },
@@ -57,12 +57,12 @@
   ...sections,
 });
 
-/** One process of the product. */
+/** A process of an entry or of a control replica. */
 export interface SiteProcess {
   readonly id: string;
   readonly settingsFile: string;
   readonly kind: 'entry' | 'control';
-  /** Where callers or other processes connect. */
+  /** Address for callers of an entry, or for other processes of a control replica. */
   readonly address: string;
   child: ChildProcess;
 }
@@ -83,7 +83,7 @@
   readonly body: AnswerBody;
 }
 
-/** The real processes on loopback, with engine stand-ins in the test's own process. */
+/** Real entry and control processes on loopback, and fake engines in the test process. */
 export class TestSite {
   readonly folder = mkdtempSync(join(tmpdir(), 'beechlift-test-'));
 
@@ -93,13 +93,13 @@
 
   readonly engines: FakeEngine[] = [];
 
-  /** Program and arguments of an entry; the benches put one with another policy here. */
+  /** Program and arguments of an entry; benches replace it by one with another policy. */
   entryProgram: readonly string[] = [BINARY, 'entry'];
 
   private replicas: { id: string; address: string; zone: string }[] = [];
 
   constructor() {
-    if (!existsSync(BINARY)) throw new Error('run "npm run bundle" first');
+    if (!existsSync(BINARY)) throw new Error('the bundle dist/beechlift.cjs does not exist: run "npm run bundle" first');
   }
 
   get controlAddresses(): string[] {
@@ -110,7 +110,7 @@
     return new OperatorClient(this.controlAddresses, OPERATOR_KEY);
   }
 
-  /** Starts processes and waits until all entries serve the first manifest. */
+  /** Starts processes, and waits until the first manifest is in force on all entries. */
   async start(controls: number, entries: number, manifest = makeManifest(1)): Promise<void> {
     const positions = Array.from({ length: controls }, (unused, position) => position);
     this.replicas = await Promise.all(positions.map(async (position) => ({
@@ -161,7 +161,7 @@
     return member;
   }
 
-  /** Starts an engine and waits until its pool's owner knows it. */
+  /** Starts an engine, and waits until the owner of its pool lists it. */
   async addEngine(id: string, options: Partial<FakeEngineOptions> = {}): Promise<FakeEngine> {
     const engine = new FakeEngine({
       id,
@@ -180,11 +180,11 @@
     });
     this.engines.push(engine);
     await engine.start();
-    await waitUntil(`engine ${id} is known`, async () => (await this.listWorkers()).includes(id));
+    await waitUntil(`the owner of the pool lists engine ${id}`, async () => (await this.listWorkers()).includes(id));
     return engine;
   }
 
-  /** The entry that owns a pool. */
+  /** Finds the entry that owns a pool. */
   async findOwner(): Promise<SiteProcess> {
     const owns = await Promise.all(this.entries.map(async (entry) => (
       (await this.readStatus(entry)).owned.length > 0)));
@@ -231,7 +231,7 @@
     });
   }
 
-  /** Asks an entry for an answer. */
+  /** Sends a completion request to an entry. */
   async send(entry: SiteProcess, prompt: string, options: {
     tokens?: number;
     key?: string;
@@ -271,12 +271,12 @@
     });
   }
 
-  /** Freezes a process, as a VM that is paused, or lets it go on. */
+  /** Freezes a process, like a paused VM, or resumes it. */
   freeze(member: SiteProcess, isFrozen: boolean): void {
     member.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Starts a process that ended again, with the same settings. */
+  /** Starts an ended process again, with the same settings. */
   restart(member: SiteProcess): void {
     member.child = this.run(member.kind, member.settingsFile);
   }
--- a/tests/scenarios/steps.ts
+++ b/tests/scenarios/steps.ts
@@ -25,7 +25,7 @@
   pending: Promise<void>;
 }
 
-/** One scenario: its site, its callers, and what both ends recorded. */
+/** State of a scenario: its site, its callers, and the records of callers and engines. */
 class ScenarioWorld extends World {
   readonly site = new TestSite();
 
@@ -35,7 +35,7 @@
 
   readonly proxies: SilentProxy[] = [];
 
-  /** Requests that an engine had when it left. */
+  /** Number of requests that were dispatched to an engine before it left. */
   dispatchedBeforeLeaving = 0;
 
   /** The entry that owned the pool and was killed. */
@@ -55,7 +55,7 @@
     return this.site.engines.reduce((sum, { dispatched }) => sum + dispatched.length, 0);
   }
 
-  /** Sends a request; a connection that breaks counts as an answer that tells nothing. */
+  /** Sends a request; a broken connection counts as an answer with status 0. */
   async send(caller: Caller, entry: SiteProcess): Promise<void> {
     this.sends += 1;
     const request = `r${this.sends}`;
@@ -93,14 +93,14 @@
   this.proxies.forEach((proxy) => proxy.stop());
 });
 
-Given('a site of {int} control replicas, {int} entries and {int} engine with {int} slots', async function start(this: ScenarioWorld, controls: number, entries: number, engines: number, slots: number) {
+Given('a site of {int} control replica(s), {int} entries and {int} engine(s) with {int} slots', async function startSite(this: ScenarioWorld, controls: number, entries: number, engines: number, slots: number) {
   await this.site.start(controls, entries);
   await Promise.all(Array.from({ length: engines }, (unused, position) => this.site.addEngine(`g${position + 1}`, { slots, decodeMs: 8 })));
 });
 
-Given('a device stands before engine {int}', async function addDevice(this: ScenarioWorld, position: number) {
+Given('a proxy in front of engine {int}', async function addDevice(this: ScenarioWorld, position: number) {
   const engine = this.site.engines[position - 1];
-  if (!engine) throw new Error(`no engine ${position}`);
+  if (!engine) throw new Error(`engine ${position} does not exist`);
   const proxy = new SilentProxy(engine.address);
   this.proxies.push(proxy);
   await proxy.start();
@@ -131,20 +131,20 @@
   await this.settle();
 });
 
-When('{int} of them have begun', async function waitForBegun(this: ScenarioWorld, count: number) {
-  await waitUntil(`${count} have begun`, () => this.countDispatched() >= count);
+When('{int} request(s) has/have been dispatched', async function waitForBegun(this: ScenarioWorld, count: number) {
+  await waitUntil(`${count} requests are dispatched`, () => this.countDispatched() >= count);
 });
 
-When('entry {int} dies', async function killEntry(this: ScenarioWorld, entry: number) {
+When('entry {int} is killed', async function killEntry(this: ScenarioWorld, entry: number) {
   await this.site.kill(this.findEntry(entry));
   await this.settle();
 });
 
-When('every caller without an answer sends again through entry {int}', async function sendAgain(this: ScenarioWorld, entry: number) {
+When('every caller without an answer retries through entry {int}', async function retryUnanswered(this: ScenarioWorld, entry: number) {
   const isUnanswered = ({ answer }: Caller) => answer?.status !== 200;
   const sendUnanswered = () => Promise.all(this.callers.filter(isUnanswered)
     .map((caller) => this.send(caller, this.findEntry(entry))));
-  await waitUntil('all have their answers', async () => {
+  await waitUntil('all callers have answers', async () => {
     await sendUnanswered();
     return !this.callers.some(isUnanswered);
   });
@@ -155,13 +155,13 @@
   if (engine) engine.model.fault = 'slow';
 });
 
-When('the leader of control freezes', async function freezeLeader(this: ScenarioWorld) {
+When('the control leader is frozen', async function freezeLeader(this: ScenarioWorld) {
   const { id } = await this.site.readControl();
   const leader = this.site.controls.find((control) => control.id === id);
   if (leader) this.site.freeze(leader, true);
 });
 
-When('the open connections of the device go silent', function silence(this: ScenarioWorld) {
+When('the proxy drops the traffic of its open connections', function dropTraffic(this: ScenarioWorld) {
   this.proxies.forEach((proxy) => proxy.dropTraffic());
 });
 
@@ -169,7 +169,7 @@
   await this.site.submit(makeManifest(version));
 });
 
-When('all processes are killed and started again', async function restartAll(this: ScenarioWorld) {
+When('all processes are killed and restarted', async function restartAll(this: ScenarioWorld) {
   const all = [...this.site.controls, ...this.site.entries];
   await Promise.all(all.map((member) => this.site.kill(member)));
   await this.settle();
@@ -184,11 +184,11 @@
   ).submit(JSON.stringify(makeManifest(2, { limits: { locateMs: 300 + position } })), 20_000)),
 );
 
-When('{int} operators submit different manifests of version 2 through different replicas', async function race(this: ScenarioWorld, count: number) {
+When('{int} operators submit different manifests of version 2 through different replicas', async function submitDifferent(this: ScenarioWorld, count: number) {
   this.attach(JSON.stringify(await submitConcurrently(this, count)), 'application/json');
 });
 
-When('engine {int} leaves', async function leave(this: ScenarioWorld, position: number) {
+When('engine {int} leaves', async function leaveSite(this: ScenarioWorld, position: number) {
   const engine = this.findEngine(position);
   engine.state = 'leaving';
   await engine.announce();
@@ -199,8 +199,9 @@
   await this.site.kill(this.findEntry(entry), 'SIGTERM');
 });
 
-Given('the engines take orders and ignore fencing numbers', async function takeOrders(this: ScenarioWorld) {
-  this.site.engines.forEach((engine) => engine.setOrderTraits({ loadMs: 300, ignoresFencing: true }));
+Given('the engines accept orders and ignore fencing numbers', async function takeOrders(this: ScenarioWorld) {
+  this.site.engines
+    .forEach((engine) => engine.setOrderTraits({ loadMs: 300, ignoresFencing: true }));
 });
 
 When('an operator submits version {int} with a new model version', async function submitModel(this: ScenarioWorld, version: number) {
@@ -211,61 +212,62 @@
   }));
 });
 
-When('one engine is ordered', async function waitForOrder(this: ScenarioWorld) {
-  await waitUntil('one is ordered', () => (
+When('one engine has received an order', async function waitForOrder(this: ScenarioWorld) {
+  await waitUntil('one engine has received an order', () => (
     this.site.engines.some(({ orders }) => orders.length > 0)));
 });
 
-When('the owner of the pool dies', async function killOwner(this: ScenarioWorld) {
+When('the owner of the pool is killed', async function killOwner(this: ScenarioWorld) {
   this.owner = await this.site.findOwner();
   await this.site.kill(this.owner);
 });
 
-When('{int} callers send requests with keys through a living entry', function sendOn(this: ScenarioWorld, count: number) {
+When('{int} callers send requests with keys through a running entry', function sendThroughRunning(this: ScenarioWorld, count: number) {
   const entry = this.site.entries.find((other) => other !== this.owner) as SiteProcess;
   addCallers(this, count).forEach((caller) => {
     caller.pending = this.send(caller, entry);
   });
 });
 
-Then('every engine carries the new model version', async function checkModel(this: ScenarioWorld) {
-  await waitUntil('all carry it', () => this.site.engines.every(({ appliedOrder: appliedOrder }) => (
+Then('every engine serves the new model version', async function checkModel(this: ScenarioWorld) {
+  await waitUntil('all engines serve the new model version', () => this.site.engines.every(({ appliedOrder }) => (
     appliedOrder?.models[0]?.modelVersion === NEW_MODEL)));
 });
 
-Then('no answer was cut by an order', function checkOrders(this: ScenarioWorld) {
-  const interrupted = this.site.engines.reduce((sum, { interruptedByOrders: interruptedByOrders }) => sum + interruptedByOrders, 0);
-  if (interrupted > 0) throw new Error(`${interrupted} answers ran when an order came`);
+Then('no answer was interrupted by an order', function checkOrders(this: ScenarioWorld) {
+  const interrupted = this.site.engines
+    .reduce((sum, { interruptedByOrders }) => sum + interruptedByOrders, 0);
+  if (interrupted > 0) throw new Error(`${interrupted} answers were in progress when an order arrived, expected 0`);
 });
 
-Then('engine {int} got at most the {int} requests that were granted before it left', function checkLeft(this: ScenarioWorld, position: number, granted: number) {
+Then('engine {int} received at most the {int} requests that were granted before it left', function checkAfterLeaving(this: ScenarioWorld, position: number, granted: number) {
   const late = this.findEngine(position).dispatched.length - this.dispatchedBeforeLeaving;
-  if (late > granted) throw new Error(`${late} requests came after it left`);
+  if (late > granted) throw new Error(`${late} requests arrived after the engine left, expected at most ${granted}`);
 });
 
-Then('one of them is accepted, also when all send again', async function checkRace(this: ScenarioWorld) {
+Then('exactly one is accepted, also after all are submitted again', async function checkSubmissions(this: ScenarioWorld) {
   const replies = await submitConcurrently(this, this.site.controls.length);
   const accepted = replies.filter(({ code }) => code === 0);
-  if (accepted.length !== 1) throw new Error(`${accepted.length} were accepted`);
+  if (accepted.length !== 1) throw new Error(`${accepted.length} submissions were accepted, expected 1`);
 });
 
 Then('every entry has version {int} in force', async function checkVersion(this: ScenarioWorld, version: number) {
   await this.site.waitForVersion(version);
 });
 
-Then('every caller has its whole answer', async function checkAnswers(this: ScenarioWorld) {
+Then('every caller has its complete answer', async function checkAnswers(this: ScenarioWorld) {
   await this.settle();
   const without = this.callers.filter(({ answer }) => answer?.status !== 200);
-  if (without.length > 0) throw new Error(`${without.length} have none: ${JSON.stringify(without[0]?.answer?.body)}`);
+  if (without.length > 0) throw new Error(`${without.length} callers have no complete answer, first body: ${JSON.stringify(without[0]?.answer?.body)}`);
 });
 
-Then('every caller has its whole answer or a true refusal', async function checkRefusals(this: ScenarioWorld) {
+Then('every caller has its complete answer or a refusal marked as not run', async function checkRefusals(this: ScenarioWorld) {
   await this.settle();
   const others = this.callers.filter(({ answer }) => answer?.status !== 200 && answer?.body.error?.run !== 'notRun');
-  if (others.length > 0) throw new Error(`${others.length} have neither`);
+  if (others.length > 0) throw new Error(`${others.length} callers have neither a complete answer nor such a refusal`);
 });
 
-Then('no invariant is broken', async function checkInvariants(this: ScenarioWorld) {
+Then('no invariant is violated', async function checkInvariants(this: ScenarioWorld) {
   await this.settle();
   const broken = verifyRecords(this.listRecords());
   if (broken.length > 0) throw new Error(JSON.stringify(broken, null, 2));
