--- a/tests/fakes/controlSite.ts
+++ b/tests/fakes/controlSite.ts
@@ -88,12 +88,12 @@
 
   /** Restarts all replicas; only one still has the given file, and it starts after the others. */
   async restartWithOneCopy(name: string, delayMs = 0): Promise<void> {
-    const [holder = 0, ...others] = [...this.running.keys()];
-    await Promise.all([holder, ...others].map((position) => this.stop(position)));
+    const [remaining = 0, ...others] = [...this.running.keys()];
+    await Promise.all([remaining, ...others].map((position) => this.stop(position)));
     await Promise.all(others.map((position) => this.removeFile(position, name)));
     await Promise.all(others.map((position) => this.start(position, false)));
     await pause(delayMs);
-    await Promise.all([this.waitForLeader(), this.start(holder, false)]);
+    await Promise.all([this.waitForLeader(), this.start(remaining, false)]);
   }
 
   /** Whether the file contains the text at every replica. */
--- a/tests/fakes/fakeEngine.ts
+++ b/tests/fakes/fakeEngine.ts
@@ -193,7 +193,7 @@
     'GET v1/streams': (incoming, response) => {
       const stream = this.model.streams.get(String(incoming.headers['x-stream']));
       if (!stream || stream.cancelled) response.writeHead(404).end();
-      else this.relay(stream, response, Number(incoming.headers['x-from']));
+      else this.sendEvents(stream, response, Number(incoming.headers['x-from']));
     },
     'DELETE v1/streams': (incoming, response) => {
       const state = this.model.cancel(String(incoming.headers['x-stream']));
@@ -283,14 +283,14 @@
       kind: 'dispatch', engine: this.options.id, stream: id, prompt: stream.prompt.slice(0, 200),
     });
     this.model.add(stream);
-    this.relay(stream, response, 0);
+    this.sendEvents(stream, response, 0);
   }
 
-  private relay(stream: EngineStream, response: ServerResponse, from: number): void {
+  private sendEvents(stream: EngineStream, response: ServerResponse, from: number): void {
     let offset = from;
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.flushHeaders();
-    const push = () => {
+    const sendNewEvents = () => {
       if (this.model.fault === 'silent') return;
       if (this.model.fault === 'drop' && offset > from + 2) {
         response.destroy();
@@ -302,9 +302,9 @@
       });
       if (stream.done) response.end(stream.cancelled ? '' : 'data: [DONE]\n\n');
     };
-    stream.listeners.add(push);
-    response.on('close', () => stream.listeners.delete(push));
-    push();
+    stream.listeners.add(sendNewEvents);
+    response.on('close', () => stream.listeners.delete(sendNewEvents));
+    sendNewEvents();
   }
 
   private appendRecord(line: object): void {
--- a/tests/fakes/powerLossFileSystem.ts
+++ b/tests/fakes/powerLossFileSystem.ts
@@ -107,8 +107,8 @@
     this.kill();
     const paths = [...new Set([...this.names.keys(), ...this.durableNames.keys()])];
     const kept = paths.flatMap((path): [string, FileContent][] => {
-      const isNew = drawWriteState() === 'present';
-      const file = (isNew ? this.names : this.durableNames).get(path);
+      const keepsLatest = drawWriteState() === 'present';
+      const file = (keepsLatest ? this.names : this.durableNames).get(path);
       if (!file) return [];
       const writes = file.writes.map((bytes) => applyWriteState(bytes, drawWriteState()));
       return [[path, { synced: Buffer.concat([file.synced, ...writes]), writes: [] }]];
--- a/tests/fakes/stoppingRun.ts
+++ b/tests/fakes/stoppingRun.ts
@@ -43,7 +43,7 @@
   /** When each entry received its signal, monotonic milliseconds. */
   private readonly stopTimes: number[] = [];
 
-  private readonly kept = new Map<string, Promise<RawCaller | undefined>>();
+  private readonly connections = new Map<string, Promise<RawCaller | undefined>>();
 
   private constructor(private readonly plan: StoppingPlan, private readonly site: StoppingSite) {}
 
@@ -104,9 +104,9 @@
   private async sendPlanned(planned: PlannedRequest, id: string): Promise<void> {
     await this.waitUntil(this.findStop(planned) + planned.at);
     const connectionKey = `${planned.entry}/${planned.kept ?? id}`;
-    const before = this.kept.get(connectionKey) ?? Promise.resolve(undefined);
-    const sent = before.then((caller) => this.sendOnConnection(caller, planned, id));
-    this.kept.set(connectionKey, sent);
+    const previous = this.connections.get(connectionKey) ?? Promise.resolve(undefined);
+    const sent = previous.then((caller) => this.sendOnConnection(caller, planned, id));
+    this.connections.set(connectionKey, sent);
     await sent;
   }
 
@@ -117,10 +117,10 @@
     id: string,
   ): Promise<RawCaller | undefined> {
     const isOpen = caller !== undefined && !caller.isEnded;
-    const used = isOpen ? caller : await this.site.open(planned.entry).catch(() => undefined);
-    const result = used && await this.sendRequest(used, planned, id);
+    const connection = isOpen ? caller : await this.site.open(planned.entry).catch(() => undefined);
+    const result = connection && await this.sendRequest(connection, planned, id);
     this.outcomes.push({ planned, id, result });
-    return result?.answer?.headers.connection === 'close' ? undefined : used;
+    return result?.answer?.headers.connection === 'close' ? undefined : connection;
   }
 
   private async sendRequest(
--- a/tests/fakes/testSite.ts
+++ b/tests/fakes/testSite.ts
@@ -131,7 +131,7 @@
     replica: { id: string; address: string; zone: string },
     joining = false,
   ): Promise<SiteProcess> {
-    const member = this.spawn('control', replica.id, replica.address, {
+    const control = this.spawn('control', replica.id, replica.address, {
       ...replica,
       adminAddress: await findFreeAddress(),
       replicas: this.replicas,
@@ -139,8 +139,8 @@
       firstOperatorKeyHash: hashKey(OPERATOR_KEY),
       joining,
     });
-    this.controls.push(member);
-    return member;
+    this.controls.push(control);
+    return control;
   }
 
   async addEntry(
@@ -149,7 +149,7 @@
     control: readonly object[] = this.replicas,
   ): Promise<SiteProcess> {
     const callerAddress = await findFreeAddress();
-    const member = this.spawn('entry', id, callerAddress, {
+    const entry = this.spawn('entry', id, callerAddress, {
       id,
       zone,
       callerAddress,
@@ -157,8 +157,8 @@
       control,
       heartbeatMs: 200,
     });
-    this.entries.push(member);
-    return member;
+    this.entries.push(entry);
+    return entry;
   }
 
   /** Starts an engine, and waits until the owner of its pool lists it. */
@@ -260,30 +260,31 @@
     return { status: response.statusCode, text: body.choices?.[0]?.text ?? raw, body };
   }
 
-  kill(member: SiteProcess, signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
+  kill(siteProcess: SiteProcess, signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
     return new Promise((done) => {
-      if (member.child.exitCode !== null || member.child.signalCode !== null) {
+      if (siteProcess.child.exitCode !== null || siteProcess.child.signalCode !== null) {
         done();
         return;
       }
-      member.child.once('exit', () => done());
-      member.child.kill(signal);
+      siteProcess.child.once('exit', () => done());
+      siteProcess.child.kill(signal);
     });
   }
 
   /** Freezes a process, like a paused VM, or resumes it. */
-  freeze(member: SiteProcess, isFrozen: boolean): void {
-    member.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
+  freeze(siteProcess: SiteProcess, isFrozen: boolean): void {
+    siteProcess.child.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
   /** Starts an ended process again, with the same settings. */
-  restart(member: SiteProcess): void {
-    member.child = this.run(member.kind, member.settingsFile);
+  restart(siteProcess: SiteProcess): void {
+    siteProcess.child = this.run(siteProcess.kind, siteProcess.settingsFile);
   }
 
   async stop(): Promise<void> {
     this.engines.forEach((engine) => engine.crash());
-    await Promise.all([...this.entries, ...this.controls].map((member) => this.kill(member)));
+    await Promise.all([...this.entries, ...this.controls]
+      .map((siteProcess) => this.kill(siteProcess)));
     rmSync(this.folder, { recursive: true, force: true });
   }
 
--- a/tests/scenarios/steps.ts
+++ b/tests/scenarios/steps.ts
@@ -41,7 +41,7 @@
   /** The entry that owned the pool and was killed. */
   owner: SiteProcess | undefined;
 
-  private sends = 0;
+  private sendCount = 0;
 
   findEntry(position: number): SiteProcess {
     return this.site.entries[position - 1] as SiteProcess;
@@ -57,8 +57,8 @@
 
   /** Sends a request; a broken connection counts as an answer with status 0. */
   async send(caller: Caller, entry: SiteProcess): Promise<void> {
-    this.sends += 1;
-    const request = `r${this.sends}`;
+    this.sendCount += 1;
+    const request = `r${this.sendCount}`;
     const { key, prompt } = caller;
     this.records.push({
       kind: 'sent', request, identity: key, prompt,
@@ -76,7 +76,7 @@
     if (answer) caller.answer = answer;
   }
 
-  async settle(): Promise<void> {
+  async waitForAnswers(): Promise<void> {
     await Promise.all(this.callers.map(({ pending }) => pending));
   }
 
@@ -128,7 +128,7 @@
     const sends = this.site.entries.map((entry) => this.send(caller, entry));
     caller.pending = Promise.all(sends).then(() => undefined);
   });
-  await this.settle();
+  await this.waitForAnswers();
 });
 
 When('{int} request(s) has/have been dispatched', async function waitForBegun(this: ScenarioWorld, count: number) {
@@ -137,7 +137,7 @@
 
 When('entry {int} is killed', async function killEntry(this: ScenarioWorld, entry: number) {
   await this.site.kill(this.findEntry(entry));
-  await this.settle();
+  await this.waitForAnswers();
 });
 
 When('every caller without an answer retries through entry {int}', async function retryUnanswered(this: ScenarioWorld, entry: number) {
@@ -171,9 +171,9 @@
 
 When('all processes are killed and restarted', async function restartAll(this: ScenarioWorld) {
   const all = [...this.site.controls, ...this.site.entries];
-  await Promise.all(all.map((member) => this.site.kill(member)));
-  await this.settle();
-  all.forEach((member) => this.site.restart(member));
+  await Promise.all(all.map((siteProcess) => this.site.kill(siteProcess)));
+  await this.waitForAnswers();
+  all.forEach((siteProcess) => this.site.restart(siteProcess));
   await this.site.waitForVersion(1);
 });
 
@@ -256,19 +256,19 @@
 });
 
 Then('every caller has its complete answer', async function checkAnswers(this: ScenarioWorld) {
-  await this.settle();
-  const without = this.callers.filter(({ answer }) => answer?.status !== 200);
-  if (without.length > 0) throw new Error(`${without.length} callers have no complete answer, first body: ${JSON.stringify(without[0]?.answer?.body)}`);
+  await this.waitForAnswers();
+  const unanswered = this.callers.filter(({ answer }) => answer?.status !== 200);
+  if (unanswered.length > 0) throw new Error(`${unanswered.length} callers have no complete answer, first body: ${JSON.stringify(unanswered[0]?.answer?.body)}`);
 });
 
 Then('every caller has its complete answer or a refusal marked as not run', async function checkRefusals(this: ScenarioWorld) {
-  await this.settle();
-  const others = this.callers.filter(({ answer }) => answer?.status !== 200 && answer?.body.error?.run !== 'notRun');
-  if (others.length > 0) throw new Error(`${others.length} callers have neither a complete answer nor such a refusal`);
+  await this.waitForAnswers();
+  const wronglyEnded = this.callers.filter(({ answer }) => answer?.status !== 200 && answer?.body.error?.run !== 'notRun');
+  if (wronglyEnded.length > 0) throw new Error(`${wronglyEnded.length} callers have neither a complete answer nor such a refusal`);
 });
 
 Then('no invariant is violated', async function checkInvariants(this: ScenarioWorld) {
-  await this.settle();
+  await this.waitForAnswers();
   const broken = verifyRecords(this.listRecords());
   if (broken.length > 0) throw new Error(JSON.stringify(broken, null, 2));
 });
