--- a/tests/fakes/relayRig.ts
+++ b/tests/fakes/relayRig.ts
@@ -51,7 +51,7 @@
 
   readonly site: RelaySite;
 
-  /** Finds no leader, so the entry chooses servers itself unless a test replaces `findLeader`. */
+  /** Finds no leader, so the entry chooses servers itself unless a test mocks this client. */
   readonly placeClient = new PlaceClient({
     entryId: 'e1',
     findLeader: () => undefined,
--- a/tests/fakes/routedSite.ts
+++ b/tests/fakes/routedSite.ts
@@ -30,7 +30,7 @@
   readonly isComplete: boolean;
 }
 
-/** Control, entries and fragile servers of a routed site: one process, connected by loopback. */
+/** Control, entries and fragile servers of a routed site, in one process and on loopback. */
 export class RoutedSite {
   readonly control: ControlSite;
 
--- a/tests/fakes/sheddingServer.ts
+++ b/tests/fakes/sheddingServer.ts
@@ -42,7 +42,7 @@
   /** Requests that arrived, with the time in monotonic milliseconds. */
   readonly arrivals: EntryEvent[] = [];
 
-  /** First answer to each entry that announced that the server leaves. */
+  /** For each entry, the first answer that announced that the server leaves. */
   private readonly leaveNotices: EntryEvent[] = [];
 
   private readonly backoffs: BackoffPeriod[] = [];
--- a/tests/fakes/stoppingRun.ts
+++ b/tests/fakes/stoppingRun.ts
@@ -11,13 +11,13 @@
 const SERVERS = 2;
 const MAX_WAIT_MS = 15_000;
 const WARM_UP_SHARES = [0, 0.3, 0.7, 1];
-/** Time before the first signal in which requests may be sent, in milliseconds. */
+/** Time before the first signal for measurements and early requests, in milliseconds. */
 const LEAD_TIME_MS = 450;
-/** If a connection ends within this time after a request, both crossed, in milliseconds. */
+/** A request may cross the close of its connection within this time, in milliseconds. */
 const CLOSE_RACE_MS = 200;
 /** Time in which a request reaches the entry on a busy machine, in milliseconds. */
 const MAX_DELIVERY_MS = 30;
-/** Shares of the grace period: no answer is aborted before, and readers pause at most until. */
+/** Shares of the grace period: earliest abort of an answer, and latest end of a reader's pause. */
 const END_SHARE = 0.8;
 const PAUSE_SHARE = 0.7;
 /** Plain answers up to this size are buffered: a caller receives all of one or nothing. */
