--- a/tests/fakes/powerLossFileSystem.ts
+++ b/tests/fakes/powerLossFileSystem.ts
@@ -106,15 +106,15 @@
   cutPower(drawWriteState: () => UnsyncedWriteState): void {
     this.kill();
     const paths = [...new Set([...this.names.keys(), ...this.durableNames.keys()])];
-    const kept = paths.flatMap((path): [string, FileContent][] => {
+    const remaining = paths.flatMap((path): [string, FileContent][] => {
       const keepsLatest = drawWriteState() === 'present';
       const file = (keepsLatest ? this.names : this.durableNames).get(path);
       if (!file) return [];
       const writes = file.writes.map((bytes) => applyWriteState(bytes, drawWriteState()));
       return [[path, { synced: Buffer.concat([file.synced, ...writes]), writes: [] }]];
     });
-    this.names = new Map(kept);
-    this.durableNames = new Map(kept);
+    this.names = new Map(remaining);
+    this.durableNames = new Map(remaining);
   }
 
   private sync(finish: () => void): Promise<void> {
--- a/tests/fakes/stoppingRun.ts
+++ b/tests/fakes/stoppingRun.ts
@@ -161,7 +161,7 @@
         sent: Math.round(result.sentAt - this.findStop(planned)),
         ended: Math.round(result.endedAt - this.findStop(planned)),
         status: result.answer?.status,
-        cut: result.endReason,
+        endReason: result.endReason,
         partial: result.partial.slice(0, 40),
       };
       return faults.map((fault) => `${fault}: ${JSON.stringify({ id, ...planned, ...times })}`);
--- a/tests/scenarios/steps.ts
+++ b/tests/scenarios/steps.ts
@@ -98,7 +98,7 @@
   await Promise.all(Array.from({ length: engines }, (unused, position) => this.site.addEngine(`g${position + 1}`, { slots, decodeMs: 8 })));
 });
 
-Given('a proxy in front of engine {int}', async function addDevice(this: ScenarioWorld, position: number) {
+Given('a proxy in front of engine {int}', async function addProxy(this: ScenarioWorld, position: number) {
   const engine = this.site.engines[position - 1];
   if (!engine) throw new Error(`engine ${position} does not exist`);
   const proxy = new SilentProxy(engine.address);
@@ -131,7 +131,7 @@
   await this.waitForAnswers();
 });
 
-When('{int} request(s) has/have been dispatched', async function waitForBegun(this: ScenarioWorld, count: number) {
+When('{int} request(s) has/have been dispatched', async function waitForDispatches(this: ScenarioWorld, count: number) {
   await waitUntil(`${count} requests are dispatched`, () => this.countDispatched() >= count);
 });
 
@@ -199,7 +199,7 @@
   await this.site.kill(this.findEntry(entry), 'SIGTERM');
 });
 
-Given('the engines accept orders and ignore fencing numbers', async function takeOrders(this: ScenarioWorld) {
+Given('the engines accept orders and ignore fencing numbers', async function acceptOrders(this: ScenarioWorld) {
   this.site.engines
     .forEach((engine) => engine.setOrderTraits({ loadMs: 300, ignoresFencing: true }));
 });
@@ -264,7 +264,7 @@
 Then('every caller has its complete answer or a refusal marked as not run', async function checkRefusals(this: ScenarioWorld) {
   await this.waitForAnswers();
   const wronglyEnded = this.callers.filter(({ answer }) => answer?.status !== 200 && answer?.body.error?.run !== 'notRun');
-  if (wronglyEnded.length > 0) throw new Error(`${wronglyEnded.length} callers have neither a complete answer nor such a refusal`);
+  if (wronglyEnded.length > 0) throw new Error(`${wronglyEnded.length} callers have neither a complete answer nor a refusal marked as not run`);
 });
 
 Then('no invariant is violated', async function checkInvariants(this: ScenarioWorld) {
