--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -220,7 +220,7 @@
     const {
       active, metrics, tracer, budget,
     } = this.parts;
-    const { span, childContext: childContext } = tracer.startHop('caller', tracer.readContext(headers), {
+    const { span, childContext } = tracer.startHop('caller', tracer.readContext(headers), {
       request: request.id, tier: request.tier, account: request.account, target: request.target,
     });
     const job = this.makeJob(request, sink, caller, childContext);
--- a/src/entry/choosing/slotClient.ts
+++ b/src/entry/choosing/slotClient.ts
@@ -43,7 +43,7 @@
    * slot that no entry uses, so a cancelled ask also reports the slot as unused.
    */
   async acquire(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
-    const { span, childContext: childContext } = this.tracer.startHop(
+    const { span, childContext } = this.tracer.startHop(
       'owner',
       parent,
       { pool: request.pool, tier: request.tier },
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -132,7 +132,7 @@
   private async send(job: RequestJob, granted: GrantedDispatch): Promise<void> {
     const { tracer, engines } = this.parts;
     const { workerAddress, streamId, workerId } = granted.dispatch;
-    const { span, childContext: childContext } = tracer.startHop(
+    const { span, childContext } = tracer.startHop(
       'engine',
       job.context,
       { worker: workerId, stream: streamId },
--- a/src/entry/sending/serviceRunner.ts
+++ b/src/entry/sending/serviceRunner.ts
@@ -102,7 +102,7 @@
     dispatch: ServiceDispatch,
   ): Promise<ServiceAnswer> {
     const { tracer, slots, clock } = this.parts;
-    const { span, childContext: childContext } = tracer.startHop('service', job.context, { worker: grant.workerId });
+    const { span, childContext } = tracer.startHop('service', job.context, { worker: grant.workerId });
     const sentAt = clock.now();
     try {
       const answer = await callService({
--- a/tests/core/suspended-leader.spec.ts
+++ b/tests/core/suspended-leader.spec.ts
@@ -74,7 +74,10 @@
 describe('the detection of suspensions', () => {
   const makeWatch = () => {
     const times = { monotonic: 0, wall: 1_000_000 };
-    return { times, watch: new SuspensionDetector({ now: () => times.monotonic }, () => times.wall) };
+    return {
+      times,
+      watch: new SuspensionDetector({ now: () => times.monotonic }, () => times.wall),
+    };
   };
 
   it('should detect that the wall clock advanced without the monotonic clock', () => {
--- a/tests/relay/leader-changes.spec.ts
+++ b/tests/relay/leader-changes.spec.ts
@@ -38,7 +38,7 @@
     Array.from({ length: BURSTS * BURST }, async (unused, position) => {
       await pause(Math.floor(position / BURST) * GAP_MS);
       return site.send(position, body)
-        .then(({ status, code, isComplete: isComplete }) => `${status} ${code}${isComplete ? '' : 'cut'}`, (error: Error) => `cut: ${error.message}`);
+        .then(({ status, code, isComplete }) => `${status} ${code}${isComplete ? '' : 'cut'}`, (error: Error) => `cut: ${error.message}`);
     }),
   );
 
--- a/tests/relay/resting-servers-site.spec.ts
+++ b/tests/relay/resting-servers-site.spec.ts
@@ -68,7 +68,7 @@
     const servers = [0, 1].map(() => (
       new SheddingServer(() => ({ status: 503, restMs: REST_MS }), ON_ITS_WAY_MS)));
     const answers = await sendInTurn(await start(...servers));
-    expect(Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff)))
+    expect(Math.max(...servers.map(({ maxDuringBackoff }) => maxDuringBackoff)))
       .toBeLessThanOrEqual(MAX_IN_BACKOFF);
     const refused = answers.filter(({ code }) => code === 'backendsResting');
     expect(refused.length).toBeGreaterThan(SENDS / 2);
--- a/tests/relay/resting-servers.spec.ts
+++ b/tests/relay/resting-servers.spec.ts
@@ -68,7 +68,8 @@
     const servers = [1_200, 1_500].map((restMs) => (
       new SheddingServer(() => ({ status: 503, restMs }))));
     const answers = await callFor(await startServers(...servers), 1_400);
-    expect(servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF)).toEqual([true, true]);
+    expect(servers.map(({ maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF))
+      .toEqual([true, true]);
     expect(new Set(answers.map(({ status }) => status))).toEqual(new Set([503]));
   });
 
@@ -92,7 +93,7 @@
     const servers = [0, 1, 2].map((offset) => new SheddingServer((count) => (
       (7 * count + 3 * offset) % 10 < 3 ? { status: 503, restMs: 600 } : {})));
     const answers = await callFor(await startServers(...servers), 3_000, 250);
-    expect(servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF))
+    expect(servers.map(({ maxDuringBackoff }) => maxDuringBackoff <= MAX_IN_BACKOFF))
       .toEqual([true, true, true]);
     const served = answers.filter(({ status }) => status === 200).length;
     expect(served / answers.length).toBeGreaterThan(0.8);
@@ -139,7 +140,7 @@
       const started = await startServers(...servers);
       await callFor(started, 1_600, 10);
       await started.close();
-      const most = Math.max(...servers.map(({ maxDuringBackoff: maxDuringBackoff }) => maxDuringBackoff));
+      const most = Math.max(...servers.map(({ maxDuringBackoff }) => maxDuringBackoff));
       if (most > MAX_IN_BACKOFF) throw new Error(`${most} requests within a rest`);
     });
     expect(await runSearchAsync(property, { runs: 4, seed: 4_711 })).toBeGreaterThan(0);
--- a/tests/relay/stopping-connections.spec.ts
+++ b/tests/relay/stopping-connections.spec.ts
@@ -19,7 +19,7 @@
   site = await StoppingSite.start({ routing: makeStoppingRouting() });
 };
 
-const { sendTo: sendTo, makeRequest } = makeStoppingCalls(() => site);
+const { sendTo, makeRequest } = makeStoppingCalls(() => site);
 
 /** Blocks this process, as a busy or paused machine does. */
 const suspendProcess = (ms: number): void => {
--- a/tests/relay/stopping-entry.spec.ts
+++ b/tests/relay/stopping-entry.spec.ts
@@ -30,7 +30,7 @@
   site = await StoppingSite.start({ routing: makeStoppingRouting(), ...options });
 };
 
-const { sendTo: sendTo, makeRequest } = makeStoppingCalls(() => site);
+const { sendTo, makeRequest } = makeStoppingCalls(() => site);
 
 afterEach(async () => {
   vi.restoreAllMocks();
--- a/tests/site/orders.spec.ts
+++ b/tests/site/orders.spec.ts
@@ -12,7 +12,7 @@
   limits: { locateMs: 300, loadsPerMinute: 120 },
 });
 
-const readCarried = ({ appliedOrder: appliedOrder }: FakeEngine): string | undefined => (
+const readCarried = ({ appliedOrder }: FakeEngine): string | undefined => (
   appliedOrder?.models[0]?.modelVersion
 );
 
@@ -56,7 +56,7 @@
     const wrong = answers.flatMap((texts, position) => (
       texts.filter((text) => text !== makeExpectedText(`p${position}`, 60))));
     expect(wrong).toEqual([]);
-    expect(engines.map(({ interruptedByOrders: interruptedByOrders }) => interruptedByOrders)).toEqual([0, 0]);
+    expect(engines.map(({ interruptedByOrders }) => interruptedByOrders)).toEqual([0, 0]);
   });
 
   /*
