--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,7 +1,6 @@
 /**
- * Measures how CPU time and memory of each role grow with its load, for docs/CAPACITY.md. Runs real
- * processes on loopback at several sizes and fits a line to the results. CPU time is that of the
- * measured process, so that other load on the machine is not included.
+ * Fits a line to the CPU time and memory of each role at several loads, for docs/CAPACITY.md, with
+ * real processes on loopback. CPU time is that of the measured process, without other load.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { Agent, request } from 'undici';
@@ -100,26 +99,24 @@
   const points: [number, number][] = [];
   await runInOrder(ENTRY_COUNTS, async (count) => {
     const links = Array.from({ length: count }, () => new LinkTable(ControlClient));
-    const sendHeartbeat = (
-      link: LinkTable<ControlClient>,
-      position: number,
-    ) => link.find(leader.address).call<object, object>(
-      (stub) => stub.heartbeat.bind(stub) as never,
-      {
-        member: {
-          id: `d${position}`,
-          incarnation: 'x',
-          peerAddress: '127.0.0.1:1',
-          callerAddress: '127.0.0.1:1',
-          zone: 'az-1',
-          state: 'active',
+    const sendHeartbeat = (link: LinkTable<ControlClient>, position: number) => link
+      .find(leader.address).call<object, object>(
+        (stub) => stub.heartbeat.bind(stub) as never,
+        {
+          member: {
+            id: `d${position}`,
+            incarnation: 'x',
+            peerAddress: '127.0.0.1:1',
+            callerAddress: '127.0.0.1:1',
+            zone: 'az-1',
+            state: 'active',
+          },
+          manifestVersion: 1,
+          manifestDigest: 'x',
+          viewNumber: 0,
         },
-        manifestVersion: 1,
-        manifestDigest: 'x',
-        viewNumber: 0,
-      },
-      new Operation({ timeoutMs: 400 }),
-    ).catch(() => undefined);
+        new Operation({ timeoutMs: 400 }),
+      ).catch(() => undefined);
     const timers = links.map((link, position) => (
       setInterval(() => sendHeartbeat(link, position), HEARTBEAT_MS)));
     await pause(2_000);
--- a/src/relay/routedRequest.ts
+++ b/src/relay/routedRequest.ts
@@ -33,9 +33,8 @@
 }
 
 /**
- * Serves one request of a caller: admits it, sends it to a backend server and answers it once. The
- * request is sent to another server only if it cannot run twice by mistake: the first server did
- * not run it, or its route allows repeats.
+ * Admits a request, sends it to a backend server and answers it once. Sends it to another server
+ * only if it cannot run twice by mistake: the first did not run it, or its route allows repeats.
  *
  * @example
  * await new RoutedRequest(parts, request, response, target, isNewest).run();
@@ -234,8 +233,7 @@
     const outcome = settleAttempt({
       worker, tracker, writer: this.writer, now: this.parts.clock.now(),
     }, callOutcome, headOutcome);
-    // Must come before any await: the request may be refused meanwhile, and the refusal depends on
-    // whether the request may have run.
+    // Before any await: a refusal meanwhile depends on whether the request may have run.
     retryPolicy.recordOutcome(outcome);
     if (outcome.kind === 'broken' && !headOutcome && !call.isAborted) await guard.checkForCrash(worker);
     if (outcome.kind === 'answered') guard.recordAnswer(this.writer.statusCode);
