--- a/src/control/placementService.ts
+++ b/src/control/placementService.ts
@@ -2,7 +2,7 @@
   PlacedReport, PlaceReply, PlaceRequest, WorkerLoad, WorkerRecord,
 } from '../protocol/generated/beechlift';
 import {
-  requestSlots, removeWaiting, expirePlaced, retainPlaced, makePlacementTables,
+  requestSlots, removeAbandonedRequest, expirePlaced, retainPlaced, makePlacementTables,
   applyPlacementUpdate, placeWaiting,
 } from '../core/routing/placement';
 import type { RestrictionFinder } from '../core/quarantine/placementRestriction';
@@ -151,7 +151,7 @@
     [...this.pending]
       .filter(([, pending]) => pending.stream === stream)
       .forEach(([placeId]) => {
-        removeWaiting(this.tables, placeId);
+        removeAbandonedRequest(this.tables, placeId);
         this.cancelPending(placeId);
       });
   }
--- a/src/core/routing/placement.ts
+++ b/src/core/routing/placement.ts
@@ -228,7 +228,7 @@
 };
 
 /** Removes a waiting request that its caller has abandoned. */
-export const removeWaiting = (tables: PlacementTables, id: string): void => {
+export const removeAbandonedRequest = (tables: PlacementTables, id: string): void => {
   tables.waiting.delete(id);
 };
 
@@ -301,7 +301,7 @@
 ): void => {
   const placed = tables.placed.get(update.id);
   if (placed) updateHandlers[update.phase](tables, placed, update, now);
-  else if (update.phase === 'dropped') removeWaiting(tables, update.id);
+  else if (update.phase === 'dropped') removeAbandonedRequest(tables, update.id);
 };
 
 /**
--- a/src/core/routing/retryBudget.ts
+++ b/src/core/routing/serviceRetryBudget.ts
@@ -26,7 +26,7 @@
  * budget.recordRequest('rooms', clock.now());
  * if (budget.take('rooms', clock.now())) retry();
  */
-export class RetryBudget {
+export class ServiceRetryBudget {
   private readonly byService = new Map<string, ServiceBudget>();
 
   constructor(
--- a/src/core/routing/workerBackoff.ts
+++ b/src/core/routing/workerBackoff.ts
@@ -82,8 +82,8 @@
  *
  * @param share position of this caller within the spread, from 0 to 1
  * @example
- * computeRetryAfterMs(2_000, Math.random()); // 2000 to 2500
+ * computeBackoffRetryAfterMs(2_000, Math.random()); // 2000 to 2500
  */
-export const computeRetryAfterMs = (backoffMs: number, share: number): number => (
+export const computeBackoffRetryAfterMs = (backoffMs: number, share: number): number => (
   Math.min(MAX_RETRY_MS, backoffMs) + share * Math.max(MIN_SPREAD_MS, SPREAD_SHARE * backoffMs)
 );
--- a/src/core/schedule/poolSchedule.ts
+++ b/src/core/schedule/poolSchedule.ts
@@ -12,7 +12,7 @@
 import { handleOrderAnswer, handleNewView, runOrderSystem } from './orderSystem';
 import { addRunning, findRank, removeRunning } from './scheduleTables';
 import { estimateTotalMs, updateSpeed } from './speedModel';
-import { computeRetryAfterMs, isDeadlineUnreachable, runShedSystem } from './shedSystem';
+import { computeQueueRetryAfterMs, isDeadlineUnreachable, runShedSystem } from './shedSystem';
 import {
   updateSlowness, runExpirySystem, runPeakDecaySystem, runStragglerSystem,
 } from './workerSystems';
@@ -51,7 +51,7 @@
     requestId: waiting.ask.requestId,
     code,
     message,
-    retryAfterMs: computeRetryAfterMs(step.tables, waiting, step.now),
+    retryAfterMs: computeQueueRetryAfterMs(step.tables, waiting, step.now),
   });
 };
 
--- a/src/core/schedule/shedSystem.ts
+++ b/src/core/schedule/shedSystem.ts
@@ -37,7 +37,7 @@
 };
 
 /** Computes the retry time to send with a refusal, in milliseconds. */
-export const computeRetryAfterMs = (
+export const computeQueueRetryAfterMs = (
   tables: ScheduleTables,
   waiting: WaitingEntity,
   now: number,
@@ -81,7 +81,7 @@
     requestId: waiting.ask.requestId,
     code,
     message,
-    retryAfterMs: computeRetryAfterMs(tables, waiting, now),
+    retryAfterMs: computeQueueRetryAfterMs(tables, waiting, now),
   });
 };
 
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -2,7 +2,7 @@
 import type { FastifyInstance } from 'fastify';
 import { makeMechanisms } from '../core/routing/mechanisms';
 import type { Mechanism } from '../core/routing/mechanisms';
-import type { RetryBounds } from '../core/routing/retryBudget';
+import type { RetryBounds } from '../core/routing/serviceRetryBudget';
 import type { RoutingReader } from '../manifest/routing';
 import type { Logger } from '../telemetry/logger';
 import { SuspensionDetector, systemClock } from '../utils/clock';
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -4,8 +4,8 @@
 import { EntryList } from '../core/routing/entryList';
 import type { Mechanisms } from '../core/routing/mechanisms';
 import { computeWatchHoldMs } from '../core/routing/messageIntervals';
-import { RetryBudget } from '../core/routing/retryBudget';
-import type { RetryBounds } from '../core/routing/retryBudget';
+import { ServiceRetryBudget } from '../core/routing/serviceRetryBudget';
+import type { RetryBounds } from '../core/routing/serviceRetryBudget';
 import {
   applyLoads, applyRecords, resetPlaced, listLoads, makeRoutedWorkers, setConnectionShares,
 } from '../core/routing/routedWorkers';
@@ -56,7 +56,7 @@
 
   private readonly entries = new EntryList();
 
-  readonly retries: RetryBudget;
+  readonly retries: ServiceRetryBudget;
 
   /** Requests that are known to crash backend servers. */
   readonly suspects = new SuspectList();
@@ -84,7 +84,7 @@
 
   constructor(private readonly parts: RelaySiteParts) {
     this.workers = makeRoutedWorkers(parts.mechanisms);
-    this.retries = new RetryBudget(parts.retryBounds, () => this.entryCount);
+    this.retries = new ServiceRetryBudget(parts.retryBounds, () => this.entryCount);
   }
 
   /** Id of this run of the entry. */
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -6,7 +6,7 @@
 import { isReachable, isReady } from '../core/routing/routedWorkers';
 import type { RoutedWorker } from '../core/routing/routedWorkers';
 import { chooseRoutedWorker, isWaitAcceptable } from '../core/routing/workerChoice';
-import { computeRetryAfterMs, isBackingOff } from '../core/routing/workerBackoff';
+import { computeBackoffRetryAfterMs, isBackingOff } from '../core/routing/workerBackoff';
 import { BeechliftError, makeErrorFromNumber } from '../errors/beechliftError';
 import type { Clock } from '../utils/clock';
 import { chargeAccount, computeCost } from './admitRequest';
@@ -163,7 +163,7 @@
     const restMs = computeShortestBackoffMs(site.workers, service, clock.now());
     if (restMs === 0) return new BeechliftError('noBackend', `no backend server of service "${service}" can accept the request`, { retryAfterMs: NO_WORKER_RETRY_MS });
     return new BeechliftError('backendsResting', `all backend servers of service "${service}" are backing off, the first for ${Math.round(restMs)} ms more`, {
-      retryAfterMs: Math.round(computeRetryAfterMs(restMs, Math.random())),
+      retryAfterMs: Math.round(computeBackoffRetryAfterMs(restMs, Math.random())),
     });
   }
 
--- a/tests/core/worker-backoff.spec.ts
+++ b/tests/core/worker-backoff.spec.ts
@@ -7,7 +7,7 @@
 import type { RoutedWorker, RoutedWorkers } from '../../src/core/routing/routedWorkers';
 import { chooseRoutedWorker } from '../../src/core/routing/workerChoice';
 import {
-  computeRetryAfterMs, countProbe, extendBackoff, isBackingOff, mayProbe, NO_BACKOFF,
+  computeBackoffRetryAfterMs, countProbe, extendBackoff, isBackingOff, mayProbe, NO_BACKOFF,
 } from '../../src/core/routing/workerBackoff';
 import type { WorkerBackoff } from '../../src/core/routing/workerBackoff';
 import { WorkerRecord } from '../../src/protocol/generated/beechlift';
@@ -65,9 +65,9 @@
   });
 
   it('should be spread over the retry times of callers, and limited', () => {
-    expect([0, 1].map((share) => computeRetryAfterMs(2_000, share))).toEqual([2_000, 2_500]);
-    expect(computeRetryAfterMs(40, 1)).toBe(290);
-    expect(computeRetryAfterMs(300_000, 0)).toBe(10_000);
+    expect([0, 1].map((share) => computeBackoffRetryAfterMs(2_000, share))).toEqual([2_000, 2_500]);
+    expect(computeBackoffRetryAfterMs(40, 1)).toBe(290);
+    expect(computeBackoffRetryAfterMs(300_000, 0)).toBe(10_000);
   });
 
   // No order of backoff requests and probes may allow a third probe within one backoff.
