--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -249,7 +249,7 @@
   const nodeReference: NodeReference = { node: undefined };
   // Replicas bound each of their calls, and the leader detects entries that are gone, so slow pings
   // suffice.
-  const server = new RpcServer('calm');
+  const server = new RpcServer('infrequent');
   server.add(SiteService, makeService(nodeReference, identity, self, logger));
   await server.listen(settings.address);
   const founders = await new SeedFounding({
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -301,7 +301,7 @@
       .filter((pool) => this.findOwnerMember(pool)?.id !== this.parts.id)
       .forEach((pool) => this.closeOwner(pool));
     this.owners.forEach((owner) => owner.handleEvent({ kind: 'membersChanged', entryIds }));
-    this.parts.peers.keep(members.map(({ peerAddress }) => peerAddress));
+    this.parts.peers.closeExcept(members.map(({ peerAddress }) => peerAddress));
     this.register().catch(() => undefined);
     // A new owner receives the backend servers now instead of at their next announcement.
     this.forwarder.announceAgain();
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -267,7 +267,7 @@
       this.startWatchdog();
       return;
     }
-    leaderStream.stream.suspect();
+    leaderStream.stream.replaceConnection();
     this.suspendLeader(`no message for ${Math.round(silentMs)} ms`);
   }
 
--- a/src/relay/siteWatch.ts
+++ b/src/relay/siteWatch.ts
@@ -47,7 +47,7 @@
  * watch.start();
  */
 export class SiteWatch {
-  private readonly links = new LinkTable(SiteClient, 'calm');
+  private readonly links = new LinkTable(SiteClient, 'infrequent');
 
   private leader = '';
 
--- a/src/relay/watchStream.ts
+++ b/src/relay/watchStream.ts
@@ -65,7 +65,7 @@
   }
 
   private expire(timeoutMs: number): void {
-    this.stream.suspect();
+    this.stream.replaceConnection();
     this.stream.cancel();
     this.end(new BeechliftError('noQuorum', `no answer within ${timeoutMs} ms`));
   }
--- a/src/wire/channelOptions.ts
+++ b/src/wire/channelOptions.ts
@@ -1,15 +1,15 @@
 import type { ChannelOptions } from '@grpc/grpc-js';
 
 /**
- * How often the two ends of a connection ping each other. `calm` is for connections on which a time
- * limit for each reply detects a dead peer: there, pings only find unused connections. Each ping
- * costs processor time at both ends, which adds up when hundreds of entries are idle.
+ * How often the two ends of a connection ping each other. `infrequent` is for connections on which
+ * a time limit for each reply detects a dead peer: there, pings only find unused connections. Each
+ * ping costs processor time at both ends, which adds up when hundreds of entries are idle.
  */
-export type KeepaliveMode = 'brisk' | 'calm';
+export type KeepaliveMode = 'frequent' | 'infrequent';
 
 const KEEPALIVE_OPTIONS: Record<KeepaliveMode, ChannelOptions> = {
-  brisk: { 'grpc.keepalive_time_ms': 1_000, 'grpc.keepalive_timeout_ms': 700 },
-  calm: { 'grpc.keepalive_time_ms': 10_000, 'grpc.keepalive_timeout_ms': 3_000 },
+  frequent: { 'grpc.keepalive_time_ms': 1_000, 'grpc.keepalive_timeout_ms': 700 },
+  infrequent: { 'grpc.keepalive_time_ms': 10_000, 'grpc.keepalive_timeout_ms': 3_000 },
 };
 
 /** Options of both ends. They turn off the load balancing and the retries of the library. */
@@ -29,7 +29,7 @@
  * Builds the options of a gRPC channel or server.
  *
  * @example
- * const server = new Server(buildChannelOptions('calm'));
+ * const server = new Server(buildChannelOptions('infrequent'));
  */
 export const buildChannelOptions = (keepaliveMode: KeepaliveMode): ChannelOptions => (
   { ...SHARED_OPTIONS, ...KEEPALIVE_OPTIONS[keepaliveMode] });
--- a/src/wire/linkTable.ts
+++ b/src/wire/linkTable.ts
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly Constructor: ClientConstructor<Stub>,
-    private readonly keepaliveMode: KeepaliveMode = 'brisk',
+    private readonly keepaliveMode: KeepaliveMode = 'frequent',
   ) {}
 
   /** Finds the link to an address, or opens it. */
@@ -28,7 +28,7 @@
   }
 
   /** Closes the links to all other addresses. */
-  keep(addresses: readonly string[]): void {
+  closeExcept(addresses: readonly string[]): void {
     [...this.links.keys()]
       .filter((address) => !addresses.includes(address))
       .forEach((address) => {
@@ -39,6 +39,6 @@
 
   /** Closes all links. */
   close(): void {
-    this.keep([]);
+    this.closeExcept([]);
   }
 }
--- a/src/wire/rpcLink.ts
+++ b/src/wire/rpcLink.ts
@@ -42,7 +42,7 @@
   /** Ends the stream without calling its listener. */
   readonly cancel: () => void;
   /** Replaces the connection, which may be dead: later calls and streams use a new one. */
-  readonly suspect: () => void;
+  readonly replaceConnection: () => void;
 }
 
 /** A connection to the peer, and the number of calls and streams that are open on it. */
@@ -73,7 +73,7 @@
   constructor(
     private readonly Constructor: ClientConstructor<Stub>,
     readonly address: string,
-    private readonly keepaliveMode: KeepaliveMode = 'brisk',
+    private readonly keepaliveMode: KeepaliveMode = 'frequent',
   ) {
     this.current = this.open();
   }
@@ -148,7 +148,7 @@
         if (!isClosed) finish();
         call.cancel();
       },
-      suspect: () => this.replaceConnection(connection),
+      replaceConnection: () => this.replaceConnection(connection),
     };
   }
 
--- a/src/wire/rpcServer.ts
+++ b/src/wire/rpcServer.ts
@@ -136,7 +136,7 @@
 export class RpcServer {
   private readonly server: Server;
 
-  constructor(keepaliveMode: KeepaliveMode = 'brisk') {
+  constructor(keepaliveMode: KeepaliveMode = 'frequent') {
     this.server = new Server(buildChannelOptions(keepaliveMode));
   }
 
--- a/tests/entry/leaving-announcements.spec.ts
+++ b/tests/entry/leaving-announcements.spec.ts
@@ -63,7 +63,7 @@
     const scheduler = new Scheduler({
       id,
       configuration,
-      peers: { find: makeLink, keep: () => undefined } as unknown as LinkTable<PeerClient>,
+      peers: { find: makeLink, closeExcept: () => undefined } as unknown as LinkTable<PeerClient>,
       clock,
       listRunning: () => [],
       orders: {} as OrderSender,
--- a/tests/fakes/fakeReplicas.ts
+++ b/tests/fakes/fakeReplicas.ts
@@ -50,7 +50,7 @@
   }
 
   private async serve(): Promise<string> {
-    const server = new RpcServer('calm');
+    const server = new RpcServer('infrequent');
     this.servers.push(server);
     let own = '';
     const answer = async ({ holdMs }: WatchRequest): Promise<WatchReply> => {
--- a/tests/fakes/holdingLeader.ts
+++ b/tests/fakes/holdingLeader.ts
@@ -14,7 +14,7 @@
 export class HoldingLeader {
   address = '';
 
-  private readonly server = new RpcServer('calm');
+  private readonly server = new RpcServer('infrequent');
 
   private readonly held = new HeldCalls();
 
--- a/tests/relay/place-client.spec.ts
+++ b/tests/relay/place-client.spec.ts
@@ -25,7 +25,7 @@
           this.script(message, this);
         },
         cancel: () => undefined,
-        suspect: () => undefined,
+        replaceConnection: () => undefined,
       };
     },
   } as unknown as RpcLink<SiteClient>;
--- a/tests/wire/rpc-link.spec.ts
+++ b/tests/wire/rpc-link.spec.ts
@@ -56,7 +56,7 @@
       take: () => undefined, close: (error) => closed.push(error),
     });
     await pause(50);
-    stream.suspect();
+    stream.replaceConnection();
     expect((await answer).leaseMs).toBe(7);
   });
 
