--- a/src/control/routedControl.ts
+++ b/src/control/routedControl.ts
@@ -116,7 +116,7 @@
 interface NodeReference { node: RoutedNode | undefined }
 
 const requireNode = ({ node }: NodeReference): RoutedNode => {
-  if (!node) throw new BeechliftError('starting', 'this replica is still looking for the others');
+  if (!node) throw new BeechliftError('starting', 'this replica is still looking for the other replicas');
   return node;
 };
 
