--- a/src/core/claims/claimTable.ts
+++ b/src/core/claims/claimTable.ts
@@ -107,7 +107,7 @@
   return makeDecision(claim, true, 'accepted');
 };
 
-/*
+/**
  * Accepts a value unless a higher ballot was promised. This guards against a paused entry that
  * resumes after its claim was taken over: its ballot is lower than the one that the majority has
  * promised meanwhile, so its dispatch is rejected before any byte is sent.
--- a/src/core/log/logState.ts
+++ b/src/core/log/logState.ts
@@ -8,8 +8,8 @@
 export const REPLICAS_COMMAND_PREFIX = 'replicas:';
 
 /**
- * Timings for sites whose availability zones are a few milliseconds apart. A follower starts an
- * election after four to eight missed heartbeats. That is longer than a retransmission on a lossy
+ * Timings for sites whose availability zones are a few milliseconds apart. A follower starts a
+ * pre-vote after four to seven missed heartbeats. That is longer than a retransmission on a lossy
  * link (about 200 ms). It is short enough for callers, because a site whose processes were all
  * killed needs one more election timeout until it serves again.
  */
@@ -157,7 +157,7 @@
     .filter((id) => id !== state.id)
 );
 
-/** Returns the part of the state that must be on disk before a vote is sent. */
+/** Returns the part of the state that must be on disk before a vote or acknowledgement is sent. */
 export const readHardState = ({ term, votedFor }: LogState): HardState => ({ term, votedFor });
 
 /** Adds an effect to the step. */
--- a/src/core/log/logTypes.ts
+++ b/src/core/log/logTypes.ts
@@ -52,10 +52,10 @@
 /** Durations of the log in milliseconds. */
 export interface LogTimings {
   readonly heartbeatMs: number;
-  /** Shortest time without contact to a leader after which a follower starts an election. */
+  /** Shortest time without contact with a leader after which a follower starts a pre-vote. */
   readonly electionTimeoutMs: number;
   /**
-   * Shortest time between two pre-votes of a replica that has no contact to a leader. A pre-vote
+   * Shortest time between two pre-votes of a replica that has no contact with a leader. A pre-vote
    * commits nobody to anything and writes nothing to disk, so it may be frequent.
    */
   readonly preVoteIntervalMs: number;
--- a/src/core/log/replicatedLog.ts
+++ b/src/core/log/replicatedLog.ts
@@ -84,7 +84,7 @@
 
 /**
  * Whether a majority has acknowledged a round that this replica sent as leader. None of these
- * replicas had contact to a newer leader at that time, so the state committed here is at least as
+ * replicas had contact with a newer leader at that time, so the state committed here is at least as
  * new as the state accepted when the round was sent, regardless of any clock.
  *
  * @example
--- a/src/core/log/replication.ts
+++ b/src/core/log/replication.ts
@@ -88,7 +88,9 @@
   state.leaseUntil = Math.max(state.leaseUntil, until);
 };
 
-/*
+/**
+ * Ends the leader lease after a suspension.
+ *
  * Guards against a leader that was suspended: its monotonic clock stopped meanwhile, so its lease
  * looks valid although another leader may have been elected. Rounds sent before the suspension no
  * longer count; the next round that a majority acknowledges renews the lease.
--- a/src/core/quarantine/crashEvaluation.ts
+++ b/src/core/quarantine/crashEvaluation.ts
@@ -1,4 +1,4 @@
-/** Evaluates recorded crashes: which requests to watch or refuse, and when to withdraw that. */
+/** Evaluates recorded crashes: which requests to watch or refuse, and when to stop doing so. */
 import {
   clearSuspect, computeGroupWeight, computeSuspectWeight, CRASH_GROUP_WINDOW_MS, findStage,
   REFUSAL_THRESHOLD, WATCH_THRESHOLD, WEIGHT_EPSILON,
@@ -9,10 +9,10 @@
 
 /** Announcements sent before a crash mostly arrive within this time, in milliseconds. */
 const IN_FLIGHT_GRACE_MS = 500;
-/** Later announcements that prove a server is alive: one or two may have been delayed. */
+/** Later announcements that prove that a server is running: one or two may have been delayed. */
 const MIN_LIVENESS_ANNOUNCEMENTS = 3;
 
-/** First and longest refusal of a request, in milliseconds. */
+/** Lengths of the first and the longest refusal of a request, in milliseconds. */
 const INITIAL_REFUSAL_MS = 60_000;
 const MAX_REFUSAL_MS = 3_600_000;
 /** Factor by which each further refusal is longer than the previous one. */
@@ -21,7 +21,7 @@
 /** How long a suspect is kept after its last crash or the end of its refusal, in milliseconds. */
 const SUSPECT_RETENTION_MS = 600_000;
 
-/** Removes a crash from a suspect because the server turned out to be alive. */
+/** Removes a crash from a suspect because the server turned out to be running. */
 const removeCrash = (
   table: CrashTable,
   suspect: Suspect,
--- a/src/core/quarantine/crashTable.ts
+++ b/src/core/quarantine/crashTable.ts
@@ -2,10 +2,11 @@
  * Which requests crash the backend servers that run them, inferred from what entries observed.
  *
  * Every request that was open at a server when it crashed is a suspect, and at most one of them is
- * the cause. A request gains certainty by being present at each crash: its weight is the sum of the
- * crashes under it. Servers that crash at the same moment share one cause, so a crash counts only
- * in proportion to the servers of its group at which the request was present. This keeps a rack
- * failure from incriminating the requests on the rack. A request that is served is cleared.
+ * the cause. The more crashes a request was open at, the likelier it is the cause: its weight is
+ * the sum of these crashes. Servers that crash at the same moment are assumed to share one cause,
+ * so a crash counts only in proportion to the servers of its group at which the request was open. A
+ * rack failure therefore adds little weight to the requests on the rack. A request that is served
+ * completely is no longer a suspect.
  */
 import type { CrashSighting } from '../../protocol/generated/beechlift';
 
@@ -14,8 +15,9 @@
   /** When the first of them crashed, monotonic milliseconds. */
   readonly at: number;
   readonly servers: Map<string, Set<string>>;
-  /** Announcements that each of them has sent since. */
+  /** Announcements that each of them has sent since then. */
   readonly announcements: Map<string, LivenessEvidence>;
+  /** Whether its requests have been evaluated since the last recorded crash. */
   isSettled: boolean;
 }
 
@@ -29,7 +31,7 @@
 /** A request that was open at servers when they crashed. */
 export interface Suspect {
   readonly fingerprint: string;
-  /** Incarnations of the servers that crashed under it. */
+  /** Keys of the server incarnations that crashed while it was open at them. */
   readonly servers: Set<string>;
   /** Weight computed by an earlier leader. */
   inheritedWeight: number;
@@ -50,7 +52,7 @@
  */
 export type SuspectStage = 'noted' | 'watched' | 'refused';
 
-/** Suspect requests and the crashes behind them. */
+/** Suspect requests, and the crashes that count against them. */
 export interface CrashTable {
   /** Increases when the list that entries receive changes. */
   revision: number;
@@ -65,11 +67,12 @@
   readonly suspect: Suspect;
 }
 
-/** Crashes within this time of one another have one cause, in milliseconds. */
+/** Crashes within this time of one another are assumed to share one cause, in milliseconds. */
 export const CRASH_GROUP_WINDOW_MS = 100;
 
-/** Weight from which a request is watched, and refused: 1 for each server that crashed alone. */
+/** Weight from which a request is watched. Each server that crashed alone counts 1. */
 export const WATCH_THRESHOLD = 2;
+/** Weight from which a request is refused for the first time. */
 export const REFUSAL_THRESHOLD = 3;
 
 /** Limits on suspects, on crashes, and on suspects per crashed server. */
@@ -99,7 +102,7 @@
   revision: FIRST_REVISION, suspects: new Map(), groupsByServer: new Map(),
 });
 
-/** Weight of a crash group: the request's crashes, times their share of the group. */
+/** Computes the weight of a crash group: the request's crashes, times their share of the group. */
 export const computeGroupWeight = ({ servers }: CrashGroup, fingerprint: string): number => {
   const crashes = [...servers.values()]
     .filter((fingerprints) => fingerprints.has(fingerprint)).length;
@@ -136,8 +139,8 @@
 };
 
 /**
- * Whether a watched request must wait because a crash under it has not been evaluated yet: it takes
- * a moment until all servers that crashed together are known.
+ * Whether a watched request must wait because one of its crashes has not been evaluated yet: it
+ * takes a moment until all servers that crashed together are known.
  */
 export const hasUnsettledCrash = ({ suspects }: CrashTable, fingerprint: string): boolean => (
   [...suspects.get(fingerprint)?.crashGroups ?? []].some(({ isSettled }) => !isSettled)
@@ -154,7 +157,10 @@
   lastEvidenceAt: now,
 });
 
-/** Oldest suspect that is not watched, else oldest that is: a flood must not evict refused ones. */
+/**
+ * Finds the suspect to evict: the oldest noted one, otherwise the oldest watched one. Refused ones
+ * are never evicted, so that a flood of new suspects cannot end their refusal.
+ */
 const findEvictable = (table: CrashTable, now: number): Suspect | undefined => {
   const hasStage = (stage: SuspectStage) => ({ fingerprint }: Suspect): boolean => (
     findStage(table, fingerprint, now) === stage);
@@ -232,7 +238,7 @@
   group.isSettled = false;
 };
 
-/** Removes a suspect that proved innocent, and returns the change if it was listed. */
+/** Removes a suspect, and returns the change if it was watched or refused. */
 export const clearSuspect = (table: CrashTable, suspect: Suspect, now: number): StageChange[] => {
   const wasListed = findStage(table, suspect.fingerprint, now) !== 'noted';
   removeSuspect(table, suspect);
--- a/src/core/quarantine/placementRestriction.ts
+++ b/src/core/quarantine/placementRestriction.ts
@@ -3,7 +3,7 @@
 /**
  * - `none`: placed like any other request.
  * - `alone`: one copy at a time, on a server without another suspect.
- * - `held`: waits, because a server has just crashed under it.
+ * - `held`: waits until its latest crash has been evaluated.
  * - `refused`: never placed.
  */
 export type RestrictionKind = 'none' | 'alone' | 'held' | 'refused';
--- a/src/core/quarantine/suspectList.ts
+++ b/src/core/quarantine/suspectList.ts
@@ -9,7 +9,7 @@
 
 /** A request that the leader watches or refuses. */
 export interface ListedSuspect {
-  /** Number of servers that crashed under it. */
+  /** Number of servers that crashed while it was open at them. */
   readonly crashCount: number;
   /** Remaining time of its refusal, in milliseconds; 0 while it is only watched. */
   readonly refusedMs: number;
--- a/src/core/quarantine/suspectRecords.ts
+++ b/src/core/quarantine/suspectRecords.ts
@@ -1,11 +1,11 @@
-/** Conversion of suspects to and from the records sent to entries and replicas and stored. */
+/** Converts suspects to and from the records that are stored and sent to entries and replicas. */
 import type { SuspectRecord } from '../../protocol/generated/beechlift';
 import {
   computeRemainingRefusalMs, computeSuspectWeight, findOrMakeSuspect, findStage,
 } from './crashTable';
 import type { CrashTable, Suspect } from './crashTable';
 
-/** Most records in a list. */
+/** Maximum number of records in a list. */
 const MAX_RECORDS = 512;
 
 const toRecord = (suspect: Suspect, now: number): SuspectRecord => ({
