--- a/src/core/routing/accountDemand.ts
+++ b/src/core/routing/accountDemand.ts
@@ -38,9 +38,8 @@
 );
 
 /**
- * Time for whose higher-rank demand units are reserved, in milliseconds: enough for some large
- * requests, but so little that an account near its limit is not refused because of a brief cluster
- * of arrivals.
+ * Units are reserved for the higher-rank demand of this many milliseconds: enough for a few large
+ * requests, but so little that an account near its limit is not refused because of a short burst.
  */
 const RESERVE_MS = 200;
 
--- a/src/core/routing/accountLedger.ts
+++ b/src/core/routing/accountLedger.ts
@@ -19,7 +19,7 @@
   refilledAt: number;
   /** Latest report of each entry. */
   readonly entries: Map<string, EntrySpend>;
-  /** Requested units per second of all entries, kept in step with `entries`. */
+  /** Requested units per second of all entries, updated together with `entries`. */
   entryDemand: number;
   /** When entries were last checked for expiry. */
   expiryCheckedAt: number;
@@ -28,8 +28,9 @@
 }
 
 /**
- * Share of the slack that is added to the burst. The rest covers what cannot be known in time: each
- * entry may overdraw by one request, and an entry that is cut off may use up its grant.
+ * Share of the slack that is added to the burst. The slack is the number of units by which accounts
+ * may exceed their limits within a window. The rest of it covers what the leader learns too late:
+ * each entry may overdraw by one request, and a disconnected entry may use up its grant.
  */
 const BURST_SLACK_SHARE = 0.1;
 /**
@@ -38,8 +39,8 @@
  */
 const OVERDRAFT_SLACK_SHARE = 0.05;
 /**
- * Share of the slack that is granted to entries beyond that. With more, small requests at entries
- * that are cut off could take an account over its limit within a window.
+ * Share of the slack that is granted to entries in addition to the overdraft share. With a larger
+ * share, small requests at disconnected entries could take an account over its limit in a window.
  */
 const GRANT_SLACK_SHARE = 0.2;
 /** Largest share of an account's burst that is reserved for its higher ranks. */
@@ -83,8 +84,8 @@
 
 /**
  * Grants the remaining limits to the entries, renewed with each of their watch requests. All grants
- * together add up to the remaining limit, so a limit holds over all entries. An entry that is cut
- * off can use its last grant but no more.
+ * together add up to the remaining limit, so a limit applies over all entries. A disconnected entry
+ * can use its last grant but no more.
  *
  * @example
  * ledger.configure(routing.accounts, now);
@@ -133,11 +134,11 @@
    * admitted as a whole while the balance is above the allowed overdraft; later requests pay back
    * what it overdraws.
    *
-   * This admits large requests of an account over its limit. If their full cost had to be
-   * available, they would hardly ever be admitted, because small requests use up each unit before
-   * that and then fill the engines. Within a rank the order of arrival decides, whatever the size.
+   * If the full cost of a large request had to be available, such requests of an account over its
+   * limit would hardly ever be admitted: small requests would use up the units first and occupy the
+   * engines. Within a rank the order of arrival decides, whatever the size.
    *
-   * A request leaves higher ranks the units that they ask for.
+   * Units that requests of higher ranks demand are reserved for them.
    *
    * @returns 0 when it was charged, otherwise milliseconds until it may be
    */
@@ -158,7 +159,7 @@
     return 0;
   }
 
-  /** Returns the charge of a request that was refused later. */
+  /** Refunds the charge of a request that was refused later. */
   refund(name: string, cost: number): void {
     const state = this.accountsByName.get(name);
     if (state) state.balance += cost;
@@ -177,8 +178,9 @@
   }
 
   /*
-   * Keeps small requests that entries decide on from being refused when large requests use up the
-   * account's limit here: grants reach below the balance that a large request leaves behind.
+   * Guards against refusing small requests, which entries admit on their own, because large
+   * requests have used up the account's limit here. Grants therefore allow a lower balance than the
+   * leader's own overdraft does.
    */
   private computeGrantable({ balance }: LedgerAccount): number {
     return Math.max(0, balance + (OVERDRAFT_SLACK_SHARE + GRANT_SLACK_SHARE) * this.slack);
--- a/src/core/routing/arrivalRates.ts
+++ b/src/core/routing/arrivalRates.ts
@@ -1,4 +1,6 @@
 /** Smoothed rates at which requests of each rank arrive at a service. */
+
+/** Smoothed arrival rate of one rank. */
 interface Rate {
   perMs: number;
   /** Time of the last update, monotonic milliseconds. */
@@ -8,7 +10,7 @@
 /** Rates by service and rank. */
 export type ArrivalRates = Map<string, Map<number, Rate>>;
 
-/** Decay time of a rate, in milliseconds: short beside a burst, long beside a lull. */
+/** Time constant of the decay, in ms: shorter than a burst, longer than a pause within one. */
 const WINDOW_MS = 1_500;
 
 /** Makes an empty table. */
--- a/src/core/routing/entryList.ts
+++ b/src/core/routing/entryList.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** Fewest entries in the caller's availability zone for which the other zones are left out. */
+/** Minimum number of entries in the caller's availability zone to leave out the other zones. */
 const MIN_SAME_ZONE = 2;
 
 /**
--- a/src/core/routing/freeSlot.ts
+++ b/src/core/routing/freeSlot.ts
@@ -11,7 +11,7 @@
   { fingerprint }: SlotRequest,
 ): PlacementRestriction => (fingerprint ? findRestriction(fingerprint) : NO_RESTRICTION);
 
-/** Chooses a server with a free slot, except those that the caller or the entry avoids. */
+/** Chooses a server with a free slot, except `avoided` ones and those that the entry avoids. */
 export const chooseFreeWorker = (
   tables: PlacementTables,
   request: SlotRequest,
--- a/src/core/routing/messageIntervals.ts
+++ b/src/core/routing/messageIntervals.ts
@@ -4,11 +4,11 @@
 const WATCH_REQUESTS_PER_SECOND = 400;
 /** Bounds on how long a watch request without updates is held, in milliseconds. */
 const MIN_WATCH_HOLD_MS = 200;
-/** A lease lasts 1.8 s or more: one request may fail and the leader be found again within it. */
+/** A lease lasts at least 1.8 s: enough for one failed request and the search for the leader. */
 const MAX_WATCH_HOLD_MS = 600;
 /** Added to two held watch requests in an entry's timeout, for a pause of either process. */
 const ENTRY_TIMEOUT_SLACK_MS = 500;
-/** Replies per second that updates of backend servers may cost the leader. */
+/** Replies per second that the leader may have to send because of backend server updates. */
 const UPDATE_REPLIES_PER_SECOND = 1_000;
 /** Bounds on how long updates are delayed to be sent together, in milliseconds. */
 const MIN_UPDATE_DELAY_MS = 50;
--- a/src/core/routing/placementTables.ts
+++ b/src/core/routing/placementTables.ts
@@ -12,10 +12,12 @@
   readonly promptTokens: number;
   /** Expected tokens of its answer. */
   readonly outputTokens: number;
+  /** Target latency of its route, in milliseconds. */
   readonly targetMs: number;
   /** When its whole answer is due, monotonic milliseconds. */
   readonly deadlineAt: number;
   readonly zone: string;
+  /** Backend servers that it has already been sent to. */
   readonly tried: readonly string[];
   /** Identical for all retries of the request; empty when its entry sends none. */
   readonly fingerprint?: string;
--- a/src/core/routing/placementWait.ts
+++ b/src/core/routing/placementWait.ts
@@ -30,13 +30,13 @@
       && compare(other, request) <= 0)).length;
 };
 
-/** Share of all slots that each rank gets at least, regardless of higher-rank arrivals. */
+/** Smallest share of the freed slots that a rank is assumed to get despite higher ranks. */
 const MIN_SLOT_SHARE = 0.05;
 
 /**
- * Estimates how long a request waits for a slot, from the requests ahead of it, the time that slots
- * are held, and the freed slots that go to higher ranks arriving meanwhile. Without the latter, low
- * ranks would be admitted to the queue only to be refused late.
+ * Estimates how long a request waits for a slot, in milliseconds, from the requests ahead of it,
+ * the time that slots are held, and the freed slots that go to higher-rank requests which arrive
+ * meanwhile. Without the latter, low ranks would be queued first and refused only later.
  *
  * @example
  * if (estimateWaitMs(tables, request, now) > computeMaxWaitMs(tables, request)) refuse();
--- a/src/core/routing/routeTable.ts
+++ b/src/core/routing/routeTable.ts
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Computes the rank of a request, of which 0 goes first. An account's rank takes precedence over
+   * Computes the rank of a request; rank 0 is served first. An account's rank takes precedence over
    * the route's: one step of it outweighs all route ranks. If all accounts have the same rank, the
    * route's alone decides.
    */
--- a/src/core/routing/routedWorkers.ts
+++ b/src/core/routing/routedWorkers.ts
@@ -18,12 +18,13 @@
   zone: string;
   slots: number;
   standing: WorkerStanding;
+  /** Whether it has started recently and still answers slowly. */
   isCold: boolean;
   /** Open requests of this entry at the server. */
   inFlight: number;
   /** Those of them that the current leader of control placed. */
   placed: number;
-  /** Prompt tokens of those that have not started to answer. */
+  /** Prompt tokens of this entry's open requests whose answers have not started. */
   pendingTokens: number;
   /** Open requests of all other entries at the server, as last reported. */
   othersInFlight: number;
@@ -167,7 +168,7 @@
   workers.byId.set(worker.id, worker);
 };
 
-const removeGone = (workers: RoutedWorkers): void => {
+const removeGoneWorkers = (workers: RoutedWorkers): void => {
   [...workers.byId.values()]
     .filter(({ standing, inFlight }) => standing === 'gone' && inFlight === 0)
     .forEach(({ id }) => workers.byId.delete(id));
@@ -185,7 +186,7 @@
 ): void => {
   if (records.length === 0) return;
   records.forEach((record) => applyRecord(workers, record));
-  removeGone(workers);
+  removeGoneWorkers(workers);
   indexByService(workers);
 };
 
--- a/src/core/routing/workerChoice.ts
+++ b/src/core/routing/workerChoice.ts
@@ -37,14 +37,20 @@
 
 /**
  * Cost of traffic between availability zones, expressed as time: a server in the same zone is
- * preferred when it answers as soon as the others, apart from a few milliseconds.
+ * preferred unless one in another zone is expected to answer earlier by more than this.
  */
 const CROSS_ZONE_PENALTY_MS = 6;
 
-/** Factor by which an expected wait counts more when all answers fail beyond the usual share. */
+/**
+ * Weight of failures in a server's expected time: the time doubles when the server's failure share
+ * exceeds the service's average by 0.15, that is by 0.05 more than is tolerated.
+ */
 const FAILURE_PENALTY = 20;
 
-/** Milliseconds of a plain answer at a server of usual speed, which makes loads comparable. */
+/**
+ * Assumed time of an answer to a request without a prompt at the fastest server, in milliseconds.
+ * Makes the loads of servers comparable.
+ */
 const PLAIN_ANSWER_MS = 10;
 
 /** Factor by which a cold server is expected to take longer. */
@@ -85,8 +91,8 @@
 const USABLE_TIME_SHARE = 0.8;
 
 /*
- * Keeps long answers from slow servers, where they would be cut off by their deadline after all the
- * work: expected time beyond the deadline counts like a wait.
+ * Keeps long answers away from slow servers, where the deadline would abort them after most of the
+ * work is done: expected time beyond the deadline counts like a wait.
  */
 const computeOverrunMs = (estimate: AnswerEstimate, { remainingMs }: ChoiceRequest): number => (
   Math.max(
--- a/src/core/routing/workerSlowness.ts
+++ b/src/core/routing/workerSlowness.ts
@@ -24,6 +24,7 @@
 /**
  * Estimates how much longer a server's work takes than that of the fastest server of its service; 1
  * for a server without samples, so that it is tried.
+ *
  * @example
  * const fastestMs = findFastestPace(workers, worker.service);
  * estimateSlowness(workers, worker, fastestMs); // 3 if a unit takes three times as long
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -6,7 +6,14 @@
 } from './workerIncarnation';
 import type { IncarnationRelation, UnprovenIncarnation } from './workerIncarnation';
 
-/** State of a backend server; only a ready one gets new requests. */
+/**
+ * State of a backend server; only a `ready` one gets new requests.
+ *
+ * - `draining`: finishes its open requests.
+ * - `gone`: was deregistered, or another server uses its address. This incarnation cannot become
+ *   ready again.
+ * - `silent`: has not announced itself within the timeout.
+ */
 export type WorkerStanding = 'ready' | 'draining' | 'gone' | 'silent';
 
 /** A backend server in the table. */
@@ -43,7 +50,7 @@
  */
 export const WORKER_TIMEOUT_MS = 5_000;
 
-/** How long a gone server is kept, so that a late announcement does not bring it back. */
+/** How long a `gone` server is stored, so that a late announcement does not add it again. */
 const GONE_RETENTION_MS = 300_000;
 
 /**
@@ -53,7 +60,7 @@
  */
 const LATE_DEREGISTRATION_MS = 10_000;
 
-/** Limit on the table's size, gone servers included. */
+/** Limit on the table's size, `gone` servers included. */
 const MAX_WORKERS = 20_000;
 
 /** Makes an empty table. */
@@ -68,8 +75,8 @@
 };
 
 /*
- * Handles an announcement that was in flight while its sender crashed and another server took its
- * address: the address belongs to the new server, and the earlier owner stays gone for good.
+ * Guards against a late announcement of a crashed server whose address another server now uses. The
+ * earlier server becomes `gone`, and announcements of that incarnation are ignored from then on.
  */
 const assignAddress = (table: WorkerTable, { workerId, address }: WorkerAnnouncement): void => {
   const ownerId = table.ownerIds.get(address);
@@ -131,7 +138,7 @@
 /*
  * Protects a server that has just restarted from a deregistration without a start time, which may
  * belong to its earlier incarnation: the server gets no requests until it announces itself as ready
- * again, but it is not removed for good.
+ * again, but does not become `gone`.
  */
 const isAmbiguousDeregistration = (
   worker: TrackedWorker,
@@ -189,7 +196,7 @@
  * Applies an announcement of a backend server.
  *
  * Ignores late announcements: those with a lower sequence number than the newest one of their
- * incarnation, those of a superseded incarnation, and those of a server that is gone.
+ * incarnation, those of a superseded incarnation, and those of an incarnation that is `gone`.
  *
  * @example
  * applyAnnouncement(table, announcement, clock.now());
