--- a/src/core/schedule/lengthModel.ts
+++ b/src/core/schedule/lengthModel.ts
@@ -48,12 +48,12 @@
   key: LengthKey,
   tokens: number,
 ): void => {
-  const name = formatKey(key);
-  const old = lengths.get(name);
+  const formattedKey = formatKey(key);
+  const old = lengths.get(formattedKey);
   if (old === undefined) {
-    lengths.set(name, Math.max(1, tokens));
+    lengths.set(formattedKey, Math.max(1, tokens));
     return;
   }
   const direction = tokens > old ? QUANTILE : QUANTILE - 1;
-  lengths.set(name, Math.max(1, old * (1 + STEP * direction)));
+  lengths.set(formattedKey, Math.max(1, old * (1 + STEP * direction)));
 };
--- a/src/core/schedule/orderState.ts
+++ b/src/core/schedule/orderState.ts
@@ -44,7 +44,7 @@
   return (MINUTE_MS * Math.max(1, pools)) / config.limits.loadsPerMinute;
 };
 
-/*
+/**
  * Creates the order state of a new owner and guards against two owners that send orders to one
  * server at the same time. Engines that check the fencing number reject the older owner. For other
  * engines, the new owner waits until the lease of the earlier owner has ended and its orders can no
--- a/src/core/schedule/orderSystem.ts
+++ b/src/core/schedule/orderSystem.ts
@@ -6,7 +6,7 @@
 
 /** Time after which an order that was not carried out is sent again, in milliseconds. */
 const ORDER_RETRY_MS = 5_000;
-/** Time after which a draining worker that is still busy is put back into service, in ms. */
+/** Milliseconds after which a draining worker that is still busy is put back into service. */
 const DRAIN_TIMEOUT_MS = 120_000;
 /** Maximum share of a pool that is out of service for orders at once; at least one worker. */
 const MAX_CHANGING_SHARE = 0.1;
@@ -68,8 +68,8 @@
  */
 const orderWhenIdle: OrderPhaseHandler = (step, worker, desired) => {
   const isNeeded = isLastReady(step.tables, worker, desired);
-  const isTooLong = !isIdle(worker) && step.now - worker.orderPhaseAt >= DRAIN_TIMEOUT_MS;
-  if (isNeeded || isTooLong) setOrderPhase(step, worker, 'serving');
+  const hasTimedOut = !isIdle(worker) && step.now - worker.orderPhaseAt >= DRAIN_TIMEOUT_MS;
+  if (isNeeded || hasTimedOut) setOrderPhase(step, worker, 'serving');
   else if (isIdle(worker) && tryReserveLoad(step)) startLoad(step, worker, desired);
 };
 
@@ -127,7 +127,9 @@
   startNextDrain(step, desired);
 };
 
-/*
+/**
+ * Handles the result of an order.
+ *
  * Guards against an owner that lost its pool without noticing: a server that has seen a higher
  * fencing number reports it, and no more orders are sent until a new view confirms this owner.
  */
--- a/src/core/schedule/scheduleTypes.ts
+++ b/src/core/schedule/scheduleTypes.ts
@@ -158,9 +158,13 @@
 /** Mechanisms of the policy; each can be disabled to measure its effect. */
 export interface PolicySettings {
   readonly name: PolicyName;
+  /** Whether workers that have a prefix of the prompt in their cache are preferred. */
   readonly affinity: boolean;
+  /** Whether lower tiers leave slots free for higher ones. */
   readonly headroom: boolean;
+  /** Whether slow workers are detected and receive fewer requests. */
   readonly stragglers: boolean;
+  /** Whether the estimates of request times differ by hardware type. */
   readonly speeds: boolean;
 }
 
--- a/src/core/schedule/workerReach.ts
+++ b/src/core/schedule/workerReach.ts
@@ -33,7 +33,9 @@
     .forEach((oldest) => failedWorkersByRequest.delete(oldest));
 };
 
-/*
+/**
+ * Whether a waiting request may be sent to a worker.
+ *
  * Guards against a request that spends all its attempts on one unreachable server, as the probe
  * after each pause. The request waits for another worker that serves its target, even if that
  * worker is busy, and tries the same worker again only if there is no other.
@@ -50,13 +52,15 @@
     .some(({ targets }) => targets.includes(target));
 };
 
-/*
+/**
+ * Suspends a worker that a request did not reach.
+ *
  * Guards against a backend server that announces itself but cannot be reached, because the network
  * path is broken or another process listens at its address. Its announcements continue, so they do
- * not show that it is reachable; each of them would assign it the waiting requests again until they
- * have no attempts left. The server therefore receives no requests for a pause, which doubles with
- * each failure, and then a single request as a probe. Failures of grants that were in flight at the
- * same time count as one.
+ * not show that it is reachable. If they did count, waiting requests would be assigned to it until
+ * they have no attempts left. The server therefore receives no requests for a pause, which doubles
+ * with each failure, and then a single request as a probe. Failures of grants that were in flight
+ * at the same time count as one.
  */
 export const handleUnreachable = (step: ScheduleStep, running: RunningEntity): void => {
   const { tables, now } = step;
