--- a/src/entry/callers/answerSink.ts
+++ b/src/entry/callers/answerSink.ts
@@ -2,7 +2,7 @@
 export interface AnswerSink {
   /** Writes one event; resolves when the caller can receive the next one. */
   readonly deliver: (data: string) => Promise<void>;
-  /** Ends the complete answer. */
+  /** Ends the answer after its last event. */
   readonly end: () => Promise<void>;
 }
 
--- a/src/entry/callers/callerApi.ts
+++ b/src/entry/callers/callerApi.ts
@@ -162,7 +162,8 @@
     const older = this.findOlderAddresses(manifest, known);
     return {
       entries: ranked.map(
-        ({ id, callerAddress, zone: at }) => ({ id, address: callerAddress, zone: at }),
+        ({ id, callerAddress, zone: entryZone }) => (
+          { id, address: callerAddress, zone: entryZone }),
       ),
       keepMs: manifest.limits.locateMs,
       ...(older ? { older } : {}),
--- a/src/entry/choosing/announcement.ts
+++ b/src/entry/choosing/announcement.ts
@@ -75,11 +75,11 @@
   if (pool.secretHash !== '' && !isKeyOf(announcement.secret, [pool.secretHash])) {
     throw new BeechliftError('announcementRefused', `pool "${announcement.pool}" requires a secret, and the announcement has none or a wrong one`);
   }
-  const carried = pool.kind === 'model' ? pool.models : pool.services;
+  const poolTargets = pool.kind === 'model' ? pool.models : pool.services;
   return {
     ...announcement,
     secret: '',
     loadAgeMs: Math.round(announcement.loadAgeMs),
-    models: announcement.models.filter((model) => carried.includes(model)),
+    models: announcement.models.filter((model) => poolTargets.includes(model)),
   };
 };
--- a/src/entry/choosing/announcementCache.ts
+++ b/src/entry/choosing/announcementCache.ts
@@ -34,7 +34,7 @@
   private readonly cached = new LRUCache<string, CachedAnnouncement>({ max: MAX_ANNOUNCEMENTS });
 
   /** When each incarnation of a server last announced that it is leaving. */
-  private readonly leftAt = new LRUCache<string, number>({ max: MAX_ANNOUNCEMENTS });
+  private readonly lastLeavingAt = new LRUCache<string, number>({ max: MAX_ANNOUNCEMENTS });
 
   /**
    * Stores an announcement.
@@ -43,15 +43,16 @@
    */
   store(announcement: Announcement, now: number): boolean {
     const incarnationKey = formatIncarnationKey(announcement);
-    const leftAt = this.leftAt.get(incarnationKey);
+    const lastLeavingAt = this.lastLeavingAt.get(incarnationKey);
     const isLeaving = announcement.state === 'leaving';
-    const mayBeOutdated = leftAt !== undefined && now - leftAt < MAX_ANNOUNCEMENT_DELAY_MS;
+    const mayBeOutdated = lastLeavingAt !== undefined
+      && now - lastLeavingAt < MAX_ANNOUNCEMENT_DELAY_MS;
     if (!isLeaving && mayBeOutdated) return false;
     // A server that became ready again may leave again, which must be reported as new.
-    if (isLeaving) this.leftAt.set(incarnationKey, now);
-    else this.leftAt.delete(incarnationKey);
+    if (isLeaving) this.lastLeavingAt.set(incarnationKey, now);
+    else this.lastLeavingAt.delete(incarnationKey);
     this.cached.set(announcement.id, { announcement, at: now });
-    return isLeaving && leftAt === undefined;
+    return isLeaving && lastLeavingAt === undefined;
   }
 
   /** Lists the announcements that are recent enough to be used. */
--- a/src/entry/choosing/announcementForwarder.ts
+++ b/src/entry/choosing/announcementForwarder.ts
@@ -94,7 +94,7 @@
     return this.cache.store(announcement, clock.now());
   }
 
-  /** Does not wait for an entry that doesn't answer in time: its own view expires soon. */
+  /** Ignores an entry that does not answer in time, because its own view expires soon. */
   private async forwardToOthers(announcement: Announcement, owner: Member): Promise<void> {
     const others = this.parts.configuration.members
       .filter(({ id }) => id !== owner.id && id !== this.parts.id);
--- a/src/entry/choosing/ownerMovedReply.ts
+++ b/src/entry/choosing/ownerMovedReply.ts
@@ -2,7 +2,7 @@
 import { resultCodes } from '../../errors/resultCodes';
 
 /**
- * Builds the reply to an ask that reached an entry which does not own the pool, or no longer does.
+ * Builds the reply to a slot request at an entry that does not own the pool, or no longer does.
  *
  * @example
  * resolve(makeOwnerMovedReply('another entry VM owns pool "engines"'));
--- a/src/entry/choosing/poolOwner.ts
+++ b/src/entry/choosing/poolOwner.ts
@@ -57,7 +57,7 @@
   askNumber: ask.askNumber,
 });
 
-/** An ask that has not been answered yet. */
+/** A slot request that has not been answered yet. */
 interface PendingAsk {
   readonly askNumber: number;
   readonly resolve: (reply: AskReply) => void;
@@ -81,12 +81,13 @@
 
   /**
    * Waits for a slot; resolves when the request is granted or refused. An entry that lost its
-   * connection asks again with a higher number. Only the ask with the highest number stays pending.
+   * connection sends the slot request again with a higher number. Only the one with the highest
+   * number stays pending.
    */
   ask(ask: AskRequest): Promise<AskReply> {
     const { requestId, askNumber } = ask;
     const previous = this.pendingAsks.get(requestId);
-    const replacedReply = makeOwnerMovedReply(`request "${requestId}" was replaced by a newer ask`);
+    const replacedReply = makeOwnerMovedReply(`request "${requestId}" was replaced by a newer slot request`);
     if (previous && previous.askNumber > askNumber) return Promise.resolve(replacedReply);
     previous?.resolve(replacedReply);
     return new Promise((resolve) => {
@@ -98,8 +99,8 @@
   /**
    * Removes a request that its entry cancelled, and revokes a grant that was sent at the same time.
    *
-   * The late cancellation of an earlier call must not remove a newer ask of the same request, so it
-   * applies to the ask number of that call only.
+   * The late cancellation of an earlier call must not remove a newer slot request with the same id,
+   * so it applies to the ask number of that call only.
    */
   drop(ask: AskRequest): void {
     const pending = this.pendingAsks.get(ask.requestId);
@@ -136,7 +137,7 @@
       });
   }
 
-  /** Answers all pending asks, because another entry owns the pool now. */
+  /** Answers all pending slot requests, because another entry owns the pool now. */
   close(): void {
     const pendingAsks = [...this.pendingAsks.values()];
     this.pendingAsks.clear();
--- a/src/entry/choosing/scheduler.ts
+++ b/src/entry/choosing/scheduler.ts
@@ -21,7 +21,10 @@
 
 const PEER_TIMEOUT_MS = 800;
 const OWNER_RETRY_MS = 100;
-/** The previous owner may grant slots until it receives the new view or its lease expires. */
+/**
+ * Time after which grants of a pool's previous owner can no longer start. It may grant slots for up
+ * to three seconds, until it receives the new view or its lease expires.
+ */
 const HANDOVER_MS = GRANT_TIMEOUT_MS + 3_000;
 
 /** A running request with its pool. */
@@ -45,7 +48,7 @@
 }
 
 /**
- * Routes asks, reports and announcements to the owner of their pool: this entry or a peer.
+ * Routes slot requests, reports and announcements to their pool's owner: this entry or a peer.
  *
  * @example
  * const reply = await scheduler.ask(ask, operation);
@@ -60,7 +63,7 @@
 
   private readonly policy: PolicySettings;
 
-  /** Number of asks so far, over all requests; asks and reports carry it to identify the latest. */
+  /** Number of slot requests so far; sent with them and with reports to identify the latest. */
   private askNumber = 0;
 
   constructor(private readonly parts: SchedulerParts) {
@@ -78,7 +81,7 @@
     });
   }
 
-  /** Pools that this entry owns. */
+  /** Lists the pools that this entry owns. */
   listOwned(): readonly PoolOwner[] {
     return [...this.owners.values()];
   }
@@ -104,12 +107,12 @@
     return this.ask({ ...ask, deadlineMs }, operation, headers);
   }
 
-  /** Handles the ask of an entry that has this entry as the owner in its view. */
+  /** Handles the slot request of an entry in whose view this entry owns the pool. */
   handleAsk(ask: AskRequest, onCancel: (listener: () => void) => void): Promise<AskReply> {
     const owner = this.findOrTakeOver(ask.pool);
     if (!owner) return Promise.resolve(this.makeNotOwnerReply(ask.pool));
     const reply = owner.ask(ask);
-    // Registered after the ask, because the call may already be cancelled when it is handled.
+    // Registered afterwards, because the call may already be cancelled when it is handled.
     onCancel(() => owner.drop(ask));
     return reply;
   }
@@ -200,9 +203,9 @@
     const { configuration, clock } = this.parts;
     const { manifest, members } = configuration;
     if (!manifest?.pools[pool]) return undefined;
-    const others = members.map(({ id }) => id);
+    const entryIds = members.map(({ id }) => id);
     const settledAt = clock.now() + HANDOVER_MS;
-    const tables = makeScheduleTables(pool, manifest, others, settledAt, this.policy);
+    const tables = makeScheduleTables(pool, manifest, entryIds, settledAt, this.policy);
     const owner = new PoolOwner(tables, clock, (order) => this.sendOrder(pool, order));
     this.owners.set(pool, owner);
     this.forwarder.listRecent()
--- a/src/entry/choosing/slotClient.ts
+++ b/src/entry/choosing/slotClient.ts
@@ -39,8 +39,8 @@
   /**
    * Waits for a slot; throws the refusal when the request gets none.
    *
-   * A grant and the cancellation of its ask can cross on the network. The owner then has granted a
-   * slot that no entry uses, so a cancelled ask also reports the slot as unused.
+   * A grant and the cancellation of its slot request can cross on the network. The owner has then
+   * granted a slot that no entry uses, so a cancelled slot request also reports the slot as unused.
    */
   async acquire(request: CallerRequest, operation: Operation, parent: Context): Promise<AskReply> {
     const { span, childContext } = this.tracer.startHop(
--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -30,7 +30,7 @@
 const REGISTER_INTERVAL_MS = 2_000;
 const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** State of an entry, as listed in the view. */
+/** State of an entry in the view: `leaving` while it shuts down, `gone` when it has finished. */
 export type MemberState = 'active' | 'leaving' | 'gone';
 
 /** A running entry process. */
@@ -59,7 +59,7 @@
 };
 
 /**
- * Starts an entry: its links, its scheduler and its heartbeat. The wiring adds the HTTP server.
+ * Starts an entry: its links, its scheduler and its heartbeat, but not its HTTP server.
  *
  * @example
  * const entry = await startEntry({ settings, logger });
--- a/src/entry/inForce/configuration.ts
+++ b/src/entry/inForce/configuration.ts
@@ -15,8 +15,8 @@
  * The accepted configuration as far as this entry has received it, and the lease to use it.
  *
  * Prevents serving an outdated configuration after the site accepted a newer one: without a valid
- * lease the entry accepts no new work. Versions only increase, so that a delayed reply or a peer
- * that is behind reverts nothing.
+ * lease the entry accepts no new work. Versions only increase, so that a delayed reply or an
+ * outdated peer cannot restore an older configuration.
  *
  * @example
  * const configuration = new Configuration(systemClock);
--- a/src/entry/inForce/heartbeat.ts
+++ b/src/entry/inForce/heartbeat.ts
@@ -9,7 +9,7 @@
 
 const CALL_TIMEOUT_MS = 400;
 const MAX_CALL_TIMEOUT_MS = 3_200;
-/** Below this remaining lease time peers are asked when control does not answer. */
+/** Below this remaining lease time, peers are asked if control does not answer. */
 const LOW_LEASE_MS = 2_000;
 const MAX_PEERS_PER_RENEWAL = 3;
 
@@ -69,7 +69,7 @@
 
   /*
    * A full manifest with thousands of accounts does not arrive within the timeout of an ordinary
-   * heartbeat. Without a longer timeout the entry would request it again for ever.
+   * heartbeat. Without a longer timeout, every further attempt would fail as well.
    */
   private updateTimeout(renewed: boolean): void {
     this.timeoutMs = renewed
--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -18,8 +18,8 @@
   readonly key: string;
   readonly ballot: Ballot;
   /**
-   * The value that was accepted before; a new dispatch is allowed only without one or after it was
-   * released.
+   * The value that was accepted before. A new dispatch is allowed only if there is none or its
+   * state is `released`.
    */
   readonly bound: ClaimValue | undefined;
 }
@@ -109,7 +109,7 @@
   }
 
   /*
-   * Retries when holders are slow for a moment because their votes wait for a disk. Sending the
+   * Retries when holders are slow for a moment because they wait for a disk sync. Sending the
    * value again has no effect on holders that accepted it. An entry that took over the claim in
    * the meantime has a higher ballot, so the next attempt fails.
    */
--- a/src/entry/sending/engineClient.ts
+++ b/src/entry/sending/engineClient.ts
@@ -45,14 +45,14 @@
  */
 const IDLE_REUSE_MS = 1_000;
 const MAX_CONNECTIONS = 1_024;
-const SHORT_CALL_MS = 2_000;
-const MAX_ERROR_BYTES = 65_536;
+const CANCEL_TIMEOUT_MS = 2_000;
+const MAX_ERROR_CHARACTERS = 65_536;
 const DONE = '[DONE]';
 
-/** Reads the body of an error and truncates it to `MAX_ERROR_BYTES` characters. */
+/** Reads the body of an error response and truncates it. */
 const readErrorBody = async (body: Dispatcher.ResponseData['body']): Promise<string> => {
   const text = await body.text();
-  return text.slice(0, MAX_ERROR_BYTES);
+  return text.slice(0, MAX_ERROR_CHARACTERS);
 };
 
 /** The events parsed from one chunk, and whether the end of the stream was reached. */
@@ -159,7 +159,10 @@
     const fresh = this.makeFreshClient(address);
     try {
       const response = await request(`http://${address}/v1/streams/${encodeURIComponent(streamId)}`, {
-        method: 'DELETE', headersTimeout: SHORT_CALL_MS, bodyTimeout: SHORT_CALL_MS, dispatcher: fresh,
+        method: 'DELETE',
+        headersTimeout: CANCEL_TIMEOUT_MS,
+        bodyTimeout: CANCEL_TIMEOUT_MS,
+        dispatcher: fresh,
       });
       const { state, incarnation } = await response.body.json() as Partial<CancelReply>;
       return { state: state ?? 'unknown', incarnation: incarnation ?? '' };
--- a/src/entry/sending/releaseAndRefuse.ts
+++ b/src/entry/sending/releaseAndRefuse.ts
@@ -1,7 +1,7 @@
 import { BeechliftError, toBeechliftError } from '../../errors/beechliftError';
 import type { RequestJob } from '../callers/requestJob';
 
-/*
+/**
  * Refuses a request for which no byte was sent. It is reported as not run only after its claim was
  * released at a majority of the holders; without a majority its run state is unknown.
  */
--- a/src/entry/sending/serviceClient.ts
+++ b/src/entry/sending/serviceClient.ts
@@ -27,7 +27,7 @@
   'proxy-authorization', 'authorization', 'expect',
 ];
 
-/** Selects the headers to forward: without those of one connection and without the API key. */
+/** Returns the headers to forward: without the API key and those that apply to one connection. */
 export const pickForwardedHeaders = (
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> => Object.fromEntries(
