--- a/src/manifest/routing.ts
+++ b/src/manifest/routing.ts
@@ -51,7 +51,10 @@
 export interface RoutedAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Overrides the rank of the route. */
+  /**
+   * Takes precedence over the rank of the route, which decides between accounts of equal rank.
+   * Undefined counts as 0.
+   */
   readonly rank: number | undefined;
   readonly unit: LimitUnit;
   /** Units per second, over all entries together; 0 sets no limit. */
@@ -62,7 +65,7 @@
   readonly defaultTokens: number;
 }
 
-/** Limits on the sizes and the timing of what callers send. */
+/** Limits on the size and the timing of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
--- a/src/verify/verifyRecords.ts
+++ b/src/verify/verifyRecords.ts
@@ -2,7 +2,15 @@
   AnswerRecord, DispatchRecord, SentRecord, VerifyRecord,
 } from './records';
 
-/** Invariants that callers and engines can observe. */
+/**
+ * Invariants that callers and engines can observe.
+ *
+ * - `dispatchedOnce`: all dispatches of a request belong to one stream.
+ * - `wholeAndOwn`: a complete answer is the correct one for its request.
+ * - `notRunIsTrue`: a request that was last reported as not run was never dispatched.
+ * - `sameForResend`: all resends of a request get the same answer.
+ * - `answered`: every request that was sent has a recorded result.
+ */
 export type Invariant = 'dispatchedOnce' | 'wholeAndOwn' | 'notRunIsTrue' | 'sameForResend' | 'answered';
 
 /** A violated invariant, with the events of the request. */
