--- a/src/core/log/logTypes.ts
+++ b/src/core/log/logTypes.ts
@@ -56,7 +56,7 @@
   readonly electionTimeoutMs: number;
   /**
    * Shortest time between two pre-votes of a replica that has no contact with a leader. A pre-vote
-   * commits nobody to anything and writes nothing to disk, so it may be frequent.
+   * binds no replica and writes nothing to disk, so it may be frequent.
    */
   readonly preVoteIntervalMs: number;
   /** Subtracted from the leader lease to allow for clocks that run at different rates. */
@@ -72,6 +72,7 @@
   role: LogRole;
   term: number;
   votedFor: string;
+  /** Id of the leader; empty while none is known. */
   leaderId: string;
   snapshot: Snapshot;
   entries: LogEntry[];
@@ -86,8 +87,10 @@
   lastLeaderContactAt: number;
   /** When the leader sends its next round, monotonic milliseconds. */
   nextHeartbeatAt: number;
+  /** Replicas that granted the current pre-vote or vote, this one included. */
   votes: Set<string>;
   peers: Map<string, PeerProgress>;
+  /** Number of the last round of appends that this replica sent as leader. */
   round: number;
   /** Send time of each recent round, monotonic milliseconds. */
   roundSentAt: Map<number, number>;
--- a/src/core/routing/accountLedger.ts
+++ b/src/core/routing/accountLedger.ts
@@ -131,8 +131,8 @@
 
   /**
    * Charges an account for a request that the leader decides on, exact to the unit. A request is
-   * admitted as a whole while the balance is above the allowed overdraft; later requests pay back
-   * what it overdraws.
+   * admitted as a whole while the balance is above the allowed overdraft; what it overdraws delays
+   * later requests.
    *
    * If the full cost of a large request had to be available, such requests of an account over its
    * limit would hardly ever be admitted: small requests would use up the units first and occupy the
--- a/src/core/routing/entryList.ts
+++ b/src/core/routing/entryList.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** Minimum number of entries in the caller's availability zone to leave out the other zones. */
+/** With at least this many entries in the caller's zone, those in other zones are left out. */
 const MIN_SAME_ZONE = 2;
 
 /**
--- a/src/core/routing/placementTables.ts
+++ b/src/core/routing/placementTables.ts
@@ -23,6 +23,7 @@
   readonly fingerprint?: string;
   /** Backend servers that do not accept requests from its entry at the moment. */
   readonly avoidedIds?: readonly string[];
+  /** When it arrived at the leader, monotonic milliseconds. */
   readonly askedAt: number;
 }
 
@@ -34,6 +35,7 @@
   readonly placedAt: number;
   /** Prompt tokens that its server still had to process when it was placed. */
   readonly pendingTokensBefore: number;
+  /** Whether its answer has started. */
   hasStarted: boolean;
 }
 
--- a/src/core/routing/placementWait.ts
+++ b/src/core/routing/placementWait.ts
@@ -7,7 +7,7 @@
 
 /**
  * Longest wait of a request for a slot, as a share of its target latency, by rank. The rest of the
- * target is for the start of its own answer. The lowest rank gives up first, as it is served last.
+ * target is for the start of its own answer. Lower ranks wait less, as they are served last.
  */
 const MAX_WAIT_SHARE_BY_RANK = [0.8, 0.7, 0.6];
 
--- a/src/core/routing/routedWorkers.ts
+++ b/src/core/routing/routedWorkers.ts
@@ -11,7 +11,7 @@
 /** A backend server from the point of view of one entry. */
 export interface RoutedWorker {
   readonly id: string;
-  /** Identifies its incarnation: another one under the same id is a different server here. */
+  /** Identifies its incarnation: another one under the same id counts as another server. */
   readonly born: number;
   service: string;
   address: string;
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -225,7 +225,7 @@
 
 /**
  * Whether a record that was stored before a restart holds something that the table lacks: an
- * unknown server, the fact that a server is gone, or a later announcement or incarnation.
+ * unknown server, the fact that a server is `gone`, or a later announcement or incarnation.
  *
  * @example
  * const missing = records.filter((record) => needsRecord(table, record));
@@ -268,7 +268,8 @@
 };
 
 /**
- * Marks servers as silent after their timeout, and removes those that are gone or silent for long.
+ * Marks servers as silent after their timeout, and removes servers that are not ready and have not
+ * announced themselves for a long time.
  *
  * @example
  * expireWorkers(table, clock.now());
--- a/src/core/schedule/scheduleTypes.ts
+++ b/src/core/schedule/scheduleTypes.ts
@@ -62,6 +62,7 @@
   address: string;
   zone: string;
   hardware: string;
+  /** Names of the models or services that it serves. */
   targets: readonly string[];
   slots: number;
   canResume: boolean;
--- a/src/entry/callers/callerRequest.ts
+++ b/src/entry/callers/callerRequest.ts
@@ -25,9 +25,13 @@
   readonly bodyHash: string;
   readonly stream: boolean;
   readonly promptTokens: number;
+  /** Most output tokens; 0 if the caller sets no limit. */
   readonly maxTokens: number;
+  /** Hashes of prefixes of the prompt, shortest first. */
   readonly prefixes: readonly string[];
+  /** Time limit for the whole answer, in milliseconds. */
   readonly deadlineMs: number;
+  /** Empty if the caller sent none. */
   readonly idempotencyKey: string;
   readonly isIdempotent: boolean;
 }
