--- a/src/core/log/replication.ts
+++ b/src/core/log/replication.ts
@@ -10,7 +10,9 @@
 
 const MAX_BATCH_ENTRIES = 256;
 const MAX_BATCH_BYTES = 1_048_576;
+/** Number of recent rounds whose send times are stored. */
 const MAX_ROUNDS_KEPT = 256;
+/** Number of unacknowledged rounds above which a peer counts as unresponsive. */
 const MAX_UNACKED_ROUNDS = 4;
 
 /** Command that a new leader appends to commit the entries of earlier terms. */
--- a/src/core/quarantine/crashTable.ts
+++ b/src/core/quarantine/crashTable.ts
@@ -30,6 +30,7 @@
 
 /** A request that was open at servers when they crashed. */
 export interface Suspect {
+  /** Identifies the request; identical for all of its retries. */
   readonly fingerprint: string;
   /** Keys of the server incarnations that crashed while it was open at them. */
   readonly servers: Set<string>;
--- a/src/core/schedule/poolSchedule.ts
+++ b/src/core/schedule/poolSchedule.ts
@@ -21,7 +21,9 @@
   RunningEntity, ScheduleEffect, ScheduleEvent, ScheduleStep, ScheduleTables, WaitingEntity,
 } from './scheduleTypes';
 
+/** Weight of one sample in the smoothed service time. */
 const SERVICE_SMOOTHING = 0.1;
+/** How long after its grant a request may be missing from the registrations of its entry. */
 const REGISTER_GRACE_MS = 5_000;
 
 const makeWaiting = ({ tables, now }: ScheduleStep, ask: AskRequest): WaitingEntity => {
--- a/src/core/schedule/workerSystems.ts
+++ b/src/core/schedule/workerSystems.ts
@@ -9,12 +9,16 @@
 export const ANNOUNCEMENT_TIMEOUT_MS = 3_000;
 
 const WORKER_RETENTION_MS = 60_000;
+/** Relative slowness above which a worker receives only probes. */
 const EASED_ABOVE_SLOWNESS = 2.5;
+/** Relative slowness below which a worker receives its full load again. */
 const STEADY_BELOW_SLOWNESS = 1.5;
 const SLOWNESS_SMOOTHING = 0.3;
+/** A first token is late after this multiple of its expected time plus `LATE_MARGIN_MS`. */
 const LATE_FACTOR = 4;
 const LATE_MARGIN_MS = 1_000;
 const MAX_SLOWNESS_SAMPLE = 10;
+/** Number of ticks in which a recorded peak halves. */
 const PEAK_HALF_LIFE_TICKS = 600;
 
 const expireWorker = ({ tables, now }: ScheduleStep, worker: WorkerEntity): void => {
