--- a/src/relay/admitRequest.ts
+++ b/src/relay/admitRequest.ts
@@ -10,7 +10,7 @@
   readonly route: Route;
   readonly service: string;
   readonly account: RoutedAccount | undefined;
-  /** Rank 0 goes first. The account's rank takes precedence where accounts differ. */
+  /** Rank 0 goes first. The account's rank takes precedence over the route's. */
   readonly rank: number;
   /** Version of the routing document that admitted the request. */
   readonly version: number;
--- a/src/relay/answerWriter.ts
+++ b/src/relay/answerWriter.ts
@@ -21,7 +21,7 @@
   || findHeader(headers, 'transfer-encoding') !== undefined;
 
 /**
- * How an answer is passed on. `direct`: each chunk at once. `framed`: in whole events, so that
+ * How an answer is passed on. `direct`: each chunk at once. `framed`: in complete events, so that
  * another server can resume the stream. `buffered`: complete, so that a request whose answer is cut
  * off can be retried or answered with an error.
  */
@@ -179,7 +179,7 @@
 
   /**
    * Aborts an answer that cannot be completed. Closes the connection, so that the caller does not
-   * take the part that it has for the whole answer.
+   * consider the part that it has received complete.
    */
   abort(): void {
     // An answer that ends with its connection looks complete unless the connection is reset.
--- a/src/relay/attemptOutcome.ts
+++ b/src/relay/attemptOutcome.ts
@@ -42,7 +42,7 @@
   } = head;
   if (answer.isNotExecuted) return { kind: 'rejected', reason: `status ${status}, not executed` };
   if (answer.requestId !== requestId || answer.isEncoded) {
-    return { kind: 'broken', reason: 'the answer belongs to another request' };
+    return { kind: 'broken', reason: 'the answer does not have the id of the request, or has a content encoding' };
   }
   if (status < SERVER_ERROR) return checkResumedStatus(head);
   const outcome: AttemptOutcome = { kind: 'failed', reason: `status ${status}` };
--- a/src/relay/attemptTracker.ts
+++ b/src/relay/attemptTracker.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * Counts one attempt at one backend server, measures the server by it, and reports its progress to
- * the leader.
+ * Tracks one attempt at one backend server: counts it as in flight, updates the statistics of the
+ * server, and reports the progress to the leader.
  *
  * @example
  * const tracker = new AttemptTracker(parts); // counts the request as in flight
--- a/src/relay/callerConnections.ts
+++ b/src/relay/callerConnections.ts
@@ -14,7 +14,7 @@
   [HEAD_TIMEOUT]: '408 Request Timeout',
 };
 
-/** Answers input that is no valid request and closes the connection; nothing was passed on. */
+/** Answers input that is not a valid request and closes the connection; nothing was forwarded. */
 const refuseUnreadable = (error: ReadError, socket: Socket): void => {
   if (!socket.writable || error.code === 'ECONNRESET') {
     socket.destroy();
@@ -24,7 +24,7 @@
   socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`);
 };
 
-/** Whether an answer is in progress that the error does not affect. */
+/** Whether a response is in progress that can be completed in spite of the error. */
 const isInProgress = ({ destroyed, req }: ServerResponse, { code }: ReadError): boolean => (
   !destroyed && req.complete && code !== CALLER_ENDED
 );
--- a/src/relay/connectionProbe.ts
+++ b/src/relay/connectionProbe.ts
@@ -16,9 +16,9 @@
 });
 
 /**
- * Checks whether the process of a server has ended, in which case it refuses new connections, or
- * the server only closed a connection. Requests that fail at one server at the same time share one
- * check.
+ * Checks whether the process of a server has ended or the server only closed a connection: new
+ * connections are refused only if the process has ended. Requests that fail at one server at the
+ * same time share one check.
  *
  * @example
  * const hasEnded = await probe.isRefused('10.0.0.9:8080');
@@ -28,8 +28,8 @@
 
   /** Whether the address refuses connections; never rejects. */
   isRefused(address: string): Promise<boolean> {
-    const known = this.pending.get(address);
-    if (known) return known;
+    const running = this.pending.get(address);
+    if (running) return running;
     const probe = probeRefusal(address).finally(() => this.pending.delete(address));
     this.pending.set(address, probe);
     return probe;
--- a/src/relay/crashRecords.ts
+++ b/src/relay/crashRecords.ts
@@ -6,7 +6,7 @@
 /** Most crashes that are kept; the oldest are dropped. */
 const MAX_RECORDS = 256;
 
-/** A server crash under a request, as this entry saw it. */
+/** A crash of a server that ran a request, as this entry saw it. */
 export type ServerCrash = Omit<CrashSighting, 'ageMs'>;
 
 interface CrashRecord {
@@ -16,8 +16,8 @@
 }
 
 /**
- * Keeps the server crashes under requests of this entry for some time, because a new leader does
- * not have the reports that were sent to the previous one.
+ * Keeps the crashes of servers that ran requests of this entry for some time, because a new leader
+ * does not have the reports that were sent to the previous one.
  *
  * @example
  * crashes.add({ fingerprint, workerId: 'w1', born: 0 }, clock.now());
@@ -34,12 +34,12 @@
     ].slice(-MAX_RECORDS);
   }
 
-  /** Whether any server has recently crashed under a request. */
+  /** Whether any server has recently crashed while it ran a request. */
   hasCrashes(now: number): boolean {
     return this.records.some(({ at }) => now - at <= RETENTION_MS);
   }
 
-  /** Counts the servers that have recently crashed under a request. */
+  /** Counts the servers that have recently crashed while they ran a request. */
   countServers(fingerprint: string, now: number): number {
     return new Set(this.records
       .filter(({ crash, at }) => crash.fingerprint === fingerprint && now - at <= RETENTION_MS)
--- a/src/relay/endAfterBody.ts
+++ b/src/relay/endAfterBody.ts
@@ -4,7 +4,8 @@
 const REMAINING_BODY_TIMEOUT_MS = 1_000;
 
 /**
- * Ends an answer that closes its connection once the rest of the request's body was received.
+ * Ends an answer after which the connection closes, but only once the rest of the request's body
+ * was received.
  *
  * Closing a connection with unread input resets it, and a caller that has not read the answer yet
  * then loses it. The answer must have a content length, so that the caller knows it is complete.
--- a/src/relay/eventFramer.ts
+++ b/src/relay/eventFramer.ts
@@ -8,16 +8,16 @@
  * an event parser would not.
  *
  * If a backend server stops in the middle of an event, the partial event must not reach the caller:
- * the server that resumes the stream sends the whole event.
+ * the server that resumes the stream sends the complete event.
  *
  * @example
- * response.write(framer.push(chunk)); // whole events only
+ * response.write(framer.push(chunk)); // complete events only
  */
 export class EventFramer {
-  /** Id of the last whole event; empty if there is none. */
+  /** Id of the last complete event; empty if there is none. */
   lastEventId = '';
 
-  /** Number of whole events so far. */
+  /** Number of complete events so far. */
   eventCount = 0;
 
   private remainder: Buffer = Buffer.alloc(0);
@@ -35,14 +35,14 @@
       : completeEvents;
   }
 
-  /** Takes the bytes after the last whole event, for an answer that has ended normally. */
+  /** Takes the bytes after the last complete event, for an answer that has ended normally. */
   takeRemainder(): Buffer {
     const { remainder } = this;
     this.remainder = Buffer.alloc(0);
     return remainder;
   }
 
-  /** Discards a partial event of a server that broke the stream off. */
+  /** Discards a partial event of a server whose stream was cut off. */
   discardPartial(): void {
     this.remainder = Buffer.alloc(0);
   }
--- a/src/relay/leaseWait.ts
+++ b/src/relay/leaseWait.ts
@@ -2,9 +2,9 @@
 
 /**
  * Fraction of the caller's time limit that a request waits for the entry's lease. If the request is
- * refused after that, its caller has most of the time left to retry. An entry that starts together
- * with a whole site gets its lease within about a second: a waiting request is then answered, while
- * an immediate refusal would use up the caller's only retry.
+ * refused after that, its caller has most of the time left to retry. When a whole site starts, its
+ * entries get their leases within about a second: a waiting request is then answered, while an
+ * immediate refusal would use up the caller's only retry.
  */
 const LEASE_WAIT_FRACTION = 1 / 8;
 /** Bounds on this wait, in milliseconds. */
--- a/src/relay/leavingEntry.ts
+++ b/src/relay/leavingEntry.ts
@@ -9,16 +9,16 @@
 /** Retry-After for callers that can use another entry, in milliseconds. */
 const OTHER_ENTRY_RETRY_MS = 50;
 
-/** Makes the refusal of a request that this entry cannot answer before it ends. */
+/** Makes the refusal of a request that this entry cannot answer before it shuts down. */
 export const makeLeavingError = (): BeechliftError => new BeechliftError('entryLeaving', 'this entry shuts down before the answer would be complete', {
   retryAfterMs: OTHER_ENTRY_RETRY_MS,
 });
 
 /**
  * Returns whether an entry can complete the answer to a request before it shuts down; always true
- * if it does not shut down.
+ * unless a shutdown is in progress.
  *
- * @param picked the chosen backend server; the fastest one is assumed without it
+ * @param picked the chosen backend server; if it is missing, the fastest one is assumed
  * @example
  * if (!canAnswerInTime(site, admitted, facts)) throw makeLeavingError();
  */
--- a/src/relay/placeClient.ts
+++ b/src/relay/placeClient.ts
@@ -26,7 +26,7 @@
  */
 const STREAM_START_FLUSH_MS = 20;
 
-/** Dependencies of the place client. */
+/** Dependencies of a place client. */
 export interface PlaceClientParts {
   /** Id of this run of the entry. */
   readonly entryId: string;
@@ -64,7 +64,7 @@
  * report would overload the leader in a burst: it would answer late, and entries would place
  * requests themselves.
  *
- * If the leader does not answer, because it is down, frozen or cut off, the entry places requests
+ * If the leader does not answer, because it is down, hung or partitioned, the entry places requests
  * itself after a short timeout and for some time from then on.
  *
  * @example
@@ -77,7 +77,7 @@
   private readonly waiting = new Map<string, PendingPlacement>();
 
   /** Ids of the slots that the leader has granted and that are in use. */
-  private readonly activePlaces = new Set<string>();
+  private readonly activePlaceIds = new Set<string>();
 
   private requests: PlaceRequest[] = [];
 
@@ -121,9 +121,9 @@
     pending.resolve(undefined);
   }
 
-  /** Reports the progress of a request; the end at once, as other requests wait for the slot. */
+  /** Reports the progress of a request. The end is sent at once: others wait for the slot. */
   report(report: PlacedReport): void {
-    if (report.phase !== 'running') this.activePlaces.delete(report.placeId);
+    if (report.phase !== 'running') this.activePlaceIds.delete(report.placeId);
     this.reports.push(report);
     if (this.reports.length > MAX_REPORTS) this.reports.shift();
     if (report.phase !== 'running') this.flushTask.schedule();
@@ -137,17 +137,17 @@
     this.flushTask.schedule();
   }
 
-  /** Whether this entry has recently seen a server crash under any request. */
+  /** Whether this entry has recently seen a server crash while it ran any request. */
   get hasCrashes(): boolean {
     return this.crashes.hasCrashes(this.parts.clock.now());
   }
 
-  /** Counts the servers that this entry has recently seen crash under a request. */
+  /** Counts the servers that this entry has recently seen crash while they ran a request. */
   countCrashes(fingerprint: string): number {
     return this.crashes.countServers(fingerprint, this.parts.clock.now());
   }
 
-  /** Reports that a request was served under which a server had crashed before. */
+  /** Reports that a request was served although a server had crashed while running it. */
   reportServed(fingerprint: string): void {
     this.crashes.forget(fingerprint);
     this.served = [...this.served, fingerprint].slice(-MAX_REPORTS);
@@ -197,7 +197,7 @@
       requests,
       reports,
       entryId: isFirst ? this.parts.entryId : '',
-      held: isFirst ? [...this.activePlaces] : [],
+      held: isFirst ? [...this.activePlaceIds] : [],
       sightings: this.crashes.takeUnreported(now),
       served,
     });
@@ -239,18 +239,18 @@
   private settle(reply: PlaceReply): void {
     const pending = this.waiting.get(reply.placeId);
     this.waiting.delete(reply.placeId);
-    if (reply.code === 0) this.activePlaces.add(reply.placeId);
+    if (reply.code === 0) this.activePlaceIds.add(reply.placeId);
     if (pending) pending.resolve(reply);
-    // The request was placed by this entry or cancelled meanwhile: its slot must not stay taken.
+    // The request was placed by this entry or cancelled meanwhile: its slot must be released.
     else if (reply.code === 0) this.report({ placeId: reply.placeId, phase: 'dropped', ...NO_TIMINGS });
   }
 
-  /** Whether the leader owes a reply: it replies to slot requests only, not to reports. */
+  /** Whether a reply of the leader is due: it replies to slot requests only, not to reports. */
   private isReplyDue(leaderStream: LeaderStream): boolean {
     return leaderStream.lastAcknowledged < leaderStream.lastAsked || this.waiting.size > 0;
   }
 
-  /** Checks the leader for timeouts while a reply is due. */
+  /** Schedules a check whether the leader has timed out. */
   private startWatchdog(): void {
     this.watchdog ??= setTimeout(() => {
       this.watchdog = undefined;
--- a/src/relay/rawHeaders.ts
+++ b/src/relay/rawHeaders.ts
@@ -1,7 +1,7 @@
 import type { RawHeaders } from './requestDialect';
 
 /** Hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'te',
   'trailer', 'transfer-encoding', 'upgrade', 'expect',
 ]);
@@ -40,7 +40,7 @@
   return listPairs(headers)
     .filter(([name]) => {
       const lower = name.toLowerCase();
-      return !CONNECTION_HEADERS.has(lower)
+      return !HOP_BY_HOP_HEADERS.has(lower)
         && !connectionOptions.has(lower)
         && !excluded.has(lower);
     })
--- a/src/relay/relayProcess.ts
+++ b/src/relay/relayProcess.ts
@@ -67,7 +67,7 @@
 };
 
 /**
- * Starts an entry of a routed site. The caller of this function opens the port.
+ * Starts an entry of a routed site. The port is not open yet: the caller of this function opens it.
  *
  * @example
  * const relay = startRelay({ settings, readRouting, dialect, logger });
--- a/src/relay/relaySite.ts
+++ b/src/relay/relaySite.ts
@@ -33,7 +33,7 @@
   readonly suspension: SuspensionDetector;
   readonly logger: Logger;
   readonly retryBounds: RetryBounds;
-  /** All are on by default. */
+  /** Defaults to all mechanisms on. */
   readonly mechanisms?: Mechanisms;
 }
 
@@ -61,7 +61,7 @@
   /** Requests that are known to crash backend servers. */
   readonly suspects = new SuspectList();
 
-  /** Until when answers may run if this entry shuts down, monotonic milliseconds. */
+  /** When answers must have ended if this entry shuts down, monotonic milliseconds. */
   private endsAt = Infinity;
 
   private documentDigest = '';
@@ -143,7 +143,7 @@
 
   /**
    * Lists the entries that callers may be sent to; none without a lease. Leaves this entry out as
-   * soon as it shuts down, before the leader knows of it.
+   * soon as it shuts down, even before the leader receives its report.
    */
   listEntries(): readonly EntryRecord[] {
     if (!this.isServing) return [];
@@ -187,7 +187,7 @@
    * Applies a reply of the leader.
    *
    * @param sentAt when the request was sent, monotonic milliseconds; the lease starts there
-   * @param epoch epoch of the suspension watch when the request was sent
+   * @param epoch epoch of the suspension detector when the request was sent
    */
   applyReply(reply: WatchReply, sentAt: number, epoch: number): void {
     if (!this.applyDocument(reply)) return;
@@ -219,7 +219,7 @@
     this.parts.logger.info('routing document in force', {
       version: routing.version,
       routes: routing.routes.length,
-      // A long time means late replies, a short one that earlier replies lacked this document.
+      // If it is long, replies were late; if it is short, earlier replies lacked this document.
       unansweredMs: Math.round(this.parts.clock.now() - this.lastAnsweredSentAt),
     });
     return true;
--- a/src/relay/requestDialect.ts
+++ b/src/relay/requestDialect.ts
@@ -32,7 +32,7 @@
   readonly isNotExecuted: boolean;
   /** Whether the body has a content encoding, which was not requested from the backend server. */
   readonly isEncoded: boolean;
-  /** Time for which the backend server wants no requests, in milliseconds; 0 if it sent none. */
+  /** Backoff that the backend server asks for, in milliseconds; 0 if it sent none. */
   readonly restMs: number;
   /** Whether the backend server reports that it is leaving. */
   readonly isLeaving: boolean;
--- a/src/relay/requestFailover.ts
+++ b/src/relay/requestFailover.ts
@@ -17,7 +17,7 @@
 export const computeSilenceMs = ({ targetLatencyMs }: Route): number => (
   Math.max(MIN_SILENCE_MS, SILENCE_TARGET_FACTOR * targetLatencyMs));
 
-/** Access that a failover needs to its request. */
+/** Callbacks of the request that a failover belongs to. */
 export interface RequestFailoverParts {
   readonly log: Pick<RequestLog, 'logSilentWait'>;
   /** Finds another server; resolves with undefined once `isUnneeded` holds or the request ended. */
--- a/src/relay/requestGuard.ts
+++ b/src/relay/requestGuard.ts
@@ -7,8 +7,8 @@
 import type { RequestParts } from './requestParts';
 
 /**
- * Server crashes under one request, over all attempts of its callers, after which an entry does not
- * send it again without the leader.
+ * Number of servers that crash while they run one request, over all its attempts and resends, after
+ * which an entry treats it as a suspect even without the leader.
  */
 const MAX_CRASHES = 2;
 /** Longest time that a broken attempt waits for the check of its server, in milliseconds. */
@@ -18,7 +18,7 @@
 
 /**
  * Protects backend servers from a request that crashes every server that runs it. Its callers send
- * it again with other ids and to other entries, and each crash ends all other requests of the
+ * it again with other ids and to other entries, and each crash also ends all other requests on the
  * server.
  *
  * @example
@@ -48,7 +48,7 @@
   check(): void {
     const suspect = this.findSuspect();
     if (!suspect || suspect.refusedMs <= 0) return;
-    throw new BeechliftError('requestQuarantined', `${suspect.crashCount} backend servers crashed under request "${this.fingerprint}"`, {
+    throw new BeechliftError('requestQuarantined', `${suspect.crashCount} backend servers crashed while they ran request "${this.fingerprint}"`, {
       retryAfterMs: Math.ceil(suspect.refusedMs),
     });
   }
@@ -79,15 +79,15 @@
   }
 
   /*
-   * Counts crashes at this entry, for the time in which the leader, which counts those at all
-   * entries, is unreachable. Without it, each resend would be treated as a first attempt.
+   * Counts the crashes that this entry has seen. The leader counts those of all entries, but while
+   * it is unreachable, each resend would otherwise be treated as a first attempt.
    */
   private countLocalCrashes(): number {
     const { placeClient } = this.parts;
     return placeClient.hasCrashes ? placeClient.countCrashes(this.fingerprint) : 0;
   }
 
-  /** Skips the lookup if there are no suspects: most requests then need no fingerprint. */
+  /** Skips the lookup if there are no suspects, so that most requests need no fingerprint. */
   private findSuspect(): ListedSuspect | undefined {
     const { site, clock } = this.parts;
     if (site.suspects.size === 0) return undefined;
--- a/src/relay/requestLog.ts
+++ b/src/relay/requestLog.ts
@@ -9,8 +9,8 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Logs and counts one request: a line with the request's id for each attempt, at level `debug` if
- * it was answered, and for each refusal.
+ * Logs and counts one request: a line with the request's id for each attempt, at level `debug` for
+ * an answered one, and for a refusal.
  *
  * @example
  * const log = new RequestLog(parts, facts.requestId, clock.now());
--- a/src/relay/retryPolicy.ts
+++ b/src/relay/retryPolicy.ts
@@ -12,8 +12,8 @@
 
 /**
  * Decides whether a request may be sent to another server, and which error answers it if not. A
- * request is sent again only if it cannot run twice by mistake and if it is not suspected of
- * crashing servers.
+ * request is sent again only if it may run twice or has certainly not run, and if it is not
+ * suspected of crashing servers.
  *
  * @example
  * retryPolicy.recordOutcome(outcome);
--- a/src/relay/watchStream.ts
+++ b/src/relay/watchStream.ts
@@ -61,7 +61,7 @@
   }
 
   private handleReply(reply: WatchReply): void {
-    this.settle()?.resolve(reply);
+    this.takePending()?.resolve(reply);
   }
 
   private expire(timeoutMs: number): void {
@@ -72,11 +72,11 @@
 
   private end(error: Error): void {
     this.failure ??= error;
-    this.settle()?.reject(error);
+    this.takePending()?.reject(error);
   }
 
-  /** Returns the pending request and stops its timer. */
-  private settle(): PendingRequest | undefined {
+  /** Clears and returns the pending request, and stops its timer. */
+  private takePending(): PendingRequest | undefined {
     const { pending } = this;
     this.pending = undefined;
     clearTimeout(pending?.timer);
--- a/src/relay/workerConnection.ts
+++ b/src/relay/workerConnection.ts
@@ -1,13 +1,19 @@
 import type { Socket } from 'node:net';
 import { buildConnector, Client } from 'undici';
 
-/** Idle time after which a connection is closed, unless the server announces a shorter one. */
+/**
+ * Idle time after which a connection is closed, in milliseconds, unless the server announces a
+ * shorter one.
+ */
 const IDLE_TIMEOUT_MS = 4_000;
-/** Margin before the server's idle timeout, so that no request meets the server's close. */
+/**
+ * Margin before the idle timeout that the server announces, in milliseconds, so that no request is
+ * sent while the server closes the connection.
+ */
 const IDLE_MARGIN_MS = 1_000;
 /**
  * Longest wait for a new connection, in milliseconds: many times the usual, yet short enough that a
- * request at a server which is down or cut off loses little time before it goes to another one.
+ * request to a server that is down or partitioned is soon sent to another one.
  */
 const CONNECT_TIMEOUT_MS = 300;
 /** Largest head of an answer that is accepted. */
@@ -61,7 +67,7 @@
 
   /*
    * Detects resets: an answer without a length ends with its connection, and the HTTP library
-   * treats a reset as a normal end, by which a partial answer would be passed on as complete. This
+   * treats a reset as a normal end, so a partial answer would be passed on as complete. This
    * listener is registered before the library's own.
    */
   private watchForReset(socket: Socket): void {
--- a/src/relay/workerConnections.ts
+++ b/src/relay/workerConnections.ts
@@ -40,7 +40,7 @@
       });
   }
 
-  /** Whether the process of a server has ended; false if that cannot be found out. */
+  /** Whether the process of a server has ended; false if that is unknown. */
   hasEnded(address: string): Promise<boolean> {
     return this.probe.isRefused(address);
   }
--- a/src/relay/workerPicker.ts
+++ b/src/relay/workerPicker.ts
@@ -16,14 +16,14 @@
 import type { RequestFacts } from './requestDialect';
 import type { RequestGuard } from './requestGuard';
 
-/** Input of the choice of a backend server for a request. */
+/** A request that needs a backend server. */
 export interface PickRequest {
   readonly admitted: AdmittedRequest;
   readonly facts: RequestFacts;
   readonly deadlineAt: number;
   /** Ids of backend servers that were tried before. */
   readonly tried: readonly string[];
-  /** Identifies the request, and says whether it is suspected of crashing servers. */
+  /** Identifies the request, and knows whether it is suspected of crashing servers. */
   readonly guard: Pick<RequestGuard, 'fingerprint' | 'isUnsuspected'>;
   /** Returns whether the request no longer needs a server. */
   readonly isAbandoned: () => boolean;
@@ -86,7 +86,7 @@
     if (placed) return placed;
     if (request.isAbandoned()) return undefined;
     // A suspect request may run only one copy at a time, which only the leader can ensure.
-    if (usesLeader && !request.guard.isUnsuspected) throw new BeechliftError('noSlotInTime', 'backend servers crashed under this request, and the control leader is unreachable', { retryAfterMs: NO_WORKER_RETRY_MS });
+    if (usesLeader && !request.guard.isUnsuspected) throw new BeechliftError('noSlotInTime', 'backend servers crashed while they ran this request, and the control leader is unreachable', { retryAfterMs: NO_WORKER_RETRY_MS });
     if (request.tried.length === 0) {
       chargeAccount(site, request.admitted.account, request.facts, clock.now());
     }
@@ -136,8 +136,8 @@
     }
     const worker = site.workers.byId.get(reply.workerId);
     /*
-     * The leader may not know that a server is leaving, for instance if it is cut off and was
-     * replaced: such a server must get no new requests.
+     * A server that is leaving must get no new requests. A partitioned leader that was replaced may
+     * not know that it is leaving.
      */
     if (worker?.standing === 'ready' && isEligible(site.workers, worker, clock.now())) {
       recordProbe(worker, clock.now());
@@ -145,7 +145,7 @@
         worker, expectedMs: reply.expectedMs, placeId, epoch: site.workersEpoch,
       };
     }
-    // `rejected`: the leader granted a slot at a server that this entry does not know yet.
+    // `rejected` means that this entry does not know the server yet.
     placeClient.report({ placeId, phase: worker ? 'dropped' : 'rejected', ...NO_TIMINGS });
     if (worker?.standing !== 'ready' || requestCount >= MAX_PLACE_REQUESTS || request.isAbandoned()) return undefined;
     this.checkBackoff(service);
