--- a/src/control/announcementService.ts
+++ b/src/control/announcementService.ts
@@ -34,11 +34,11 @@
   constructor(private readonly parts: AnnouncementServiceParts) {}
 
   /**
-   * Applies or forwards an announcement; `taken` is false if no leader received it. Throws if no
-   * server of this site can send the announcement.
+   * Applies or forwards an announcement; `taken` is false if no leader received it. Throws if the
+   * announcement cannot be from a server of this site.
    *
    * To prevent loops, a replica never forwards to itself, even if its lease has lapsed, and never
-   * forwards what was forwarded to it, as two replicas may each take the other for the leader.
+   * forwards what was forwarded to it, as two replicas may each consider the other the leader.
    */
   async announce(announcement: WorkerAnnouncement, isForwarded: boolean): Promise<AnnounceReply> {
     const {
--- a/src/control/announcementValidator.ts
+++ b/src/control/announcementValidator.ts
@@ -15,10 +15,10 @@
 }
 
 /**
- * Rejects announcements that no backend server of this site sends.
+ * Rejects announcements that cannot be from a backend server of this site.
  *
  * An announcement for a service without a route could otherwise claim the address of a working
- * server, which would then count as gone.
+ * server, which would then be treated as deregistered.
  *
  * @example
  * validator.check(announcement); // throws 'unknownService'
@@ -38,7 +38,7 @@
   check(announcement: WorkerAnnouncement): void {
     const { readSite, readTable } = this.parts;
     const site = readSite();
-    // Servers already announce themselves before the first document, when no service is known.
+    // Before the first document no service is known, but servers announce themselves already.
     if (announcement.state === 'gone' || site.version === 0) return;
     if (
       readTable().workers.get(announcement.workerId)?.said.service === announcement.service
--- a/src/control/controlService.ts
+++ b/src/control/controlService.ts
@@ -53,7 +53,7 @@
   const refuse = handleUnary<unknown, never>(() => {
     throw new BeechliftError('noQuorum', 'this replica has not started yet');
   });
-  const relayCall = (method: (typeof METHODS)[number]) => (
+  const makeHandler = (method: (typeof METHODS)[number]) => (
     call: ServerUnaryCall<unknown, unknown>,
     callback: sendUnaryData<unknown>,
   ) => {
@@ -61,6 +61,6 @@
     const handler = (service?.[method] ?? refuse) as typeof refuse;
     handler(call, callback);
   };
-  const methods = Object.fromEntries(METHODS.map((method) => [method, relayCall(method)]));
+  const methods = Object.fromEntries(METHODS.map((method) => [method, makeHandler(method)]));
   return { ...methods, readFounding: handleUnary(readFounding) } as unknown as ControlServer;
 };
--- a/src/control/documentPacker.ts
+++ b/src/control/documentPacker.ts
@@ -5,10 +5,10 @@
 /** Fields of a watch reply that carry the document, plain or packed. */
 export type DocumentPart = Pick<WatchReply, 'document' | 'packedDocument'>;
 
-const NOTHING = Buffer.alloc(0);
+const NO_BYTES = Buffer.alloc(0);
 
 /** Fields of a watch reply without a document. */
-export const NO_DOCUMENT_PART: DocumentPart = { document: '', packedDocument: NOTHING };
+export const NO_DOCUMENT_PART: DocumentPart = { document: '', packedDocument: NO_BYTES };
 
 /**
  * Packs the current document, once for all entries.
@@ -29,7 +29,7 @@
   build({ digest, document }: SiteDocument): DocumentPart {
     if (this.digest !== digest) {
       const packed = packLarge(document);
-      this.part = packed ? { document: '', packedDocument: packed } : { document, packedDocument: NOTHING };
+      this.part = packed ? { document: '', packedDocument: packed } : { document, packedDocument: NO_BYTES };
       this.digest = digest;
     }
     return this.part;
--- a/src/control/entryTable.ts
+++ b/src/control/entryTable.ts
@@ -20,7 +20,7 @@
 /** Time without a request after which the slots of an entry are freed, in milliseconds. */
 export const ENTRY_TIMEOUT_MS = 2_000;
 
-/** Interval of the check for unresponsive entries, in milliseconds: small against the timeout. */
+/** Interval of the check for unresponsive entries, in milliseconds; far below the timeout. */
 const EXPIRE_MS = 25;
 
 const isSame = (a: EntryRecord, b: EntryRecord): boolean => (
@@ -82,7 +82,7 @@
     return this.entries.size;
   }
 
-  /** Whether an entry sent a request recently and was not replaced by another process. */
+  /** Whether an entry sent a request recently, and no later process has taken its address. */
   has(entryId: string, now: number): boolean {
     const entry = this.entries.get(entryId);
     return entry !== undefined && now - entry.lastSeenAt <= ENTRY_TIMEOUT_MS;
--- a/src/control/founding.ts
+++ b/src/control/founding.ts
@@ -25,7 +25,7 @@
 /**
  * Decides whether a replica with an empty data folder may start.
  *
- * A replica that lost its disk must not come back as if it had never voted: together with a replica
+ * A replica that lost its disk must not rejoin as if it had never voted: together with a replica
  * that lags, it could form a majority without the accepted changes. So an empty replica starts only
  * if it sees all other replicas empty in the same start. If the site already exists, the replica
  * refuses to start and must be replaced under a new id.
--- a/src/control/holderCopier.ts
+++ b/src/control/holderCopier.ts
@@ -18,11 +18,11 @@
  * Copies the claims of a majority of the previous holders to a new claim holder, before the new
  * holder set becomes the only one.
  *
- * After that, a majority of the new set has every claim that the old set agreed on, so that a
- * second loss right after a repair loses no claim.
+ * After that, a majority of the new set has every claim that the old set agreed on, so that no
+ * claim is lost even if a second replica fails right after the repair.
  *
  * @example
- * const copier = new HolderCopier(view, holder, links, logger);
+ * const copier = new HolderCopier(context, holder, links, logger);
  * setInterval(() => copier.tick(), 500);
  */
 export class HolderCopier {
--- a/src/control/joinRequests.ts
+++ b/src/control/joinRequests.ts
@@ -1,6 +1,6 @@
 import type { Replica } from '../protocol/generated/beechlift';
 
-/** Lifetime of a join request, in milliseconds: a replica repeats it four times meanwhile. */
+/** Lifetime of a join request, in milliseconds: a replica repeats it four times in this time. */
 const REQUEST_TTL_MS = 2_000;
 
 /** Bounds the memory that join requests use. */
@@ -30,7 +30,7 @@
     return [...this.requests.values()].map(({ replica }) => replica);
   }
 
-  /** Keeps one replica per address: another identity there has lost its disk and cannot join. */
+  /** Keeps one replica per address: an earlier identity there lost its disk and cannot join. */
   private removeSuperseded({ id, address }: Replica): void {
     this.requests.forEach(({ replica }) => {
       if (replica.address === address && replica.id !== id) this.requests.delete(replica.id);
--- a/src/control/leaderFollower.ts
+++ b/src/control/leaderFollower.ts
@@ -70,7 +70,7 @@
     this.removeReported();
   }
 
-  /** Drops cached records that the leader has, and all of them when the report time is over. */
+  /** Drops the cached records that the leader has, and all of them once reporting ends. */
   private removeReported(): void {
     const { registry, suspects, recoveryWindow } = this.parts;
     const { isReporting } = recoveryWindow;
--- a/src/control/leaderState.ts
+++ b/src/control/leaderState.ts
@@ -59,7 +59,7 @@
   /** Revision of the server table that the placement service has applied. */
   private appliedRevision = 0;
 
-  /** When this replica began to lead, in monotonic milliseconds. */
+  /** When this replica began to lead, monotonic milliseconds. */
   readonly startedAt: number;
 
   constructor(private readonly parts: LeaderStateParts) {
@@ -100,9 +100,10 @@
   /**
    * Builds the entry list for a client; empty if the client already has the current one.
    *
-   * A new leader has heard from few entries, and all callers would be sent to these. So a client
-   * that holds the list of an earlier leader keeps it until all entries had time to send a watch
-   * request. The epoch identifies the leader of a list, as the revisions of two leaders may match.
+   * A new leader knows only few entries at first, and all callers would be sent to these. So a
+   * client that has the list of an earlier leader keeps it until all entries had time to send a
+   * watch request. The epoch identifies the leader of a list, as the revisions of two leaders may
+   * match.
    *
    * @param epoch identifies the tables of this leader
    */
@@ -142,7 +143,7 @@
     if (!stream.isOpen) return;
     this.applyWorkerChanges(workers);
     stream.acknowledge(message.number, message.requests.length > 0);
-    // Before free slots are granted again: a crashed request must not get another server.
+    // Before free slots are granted: a request that crashed its server must not get another one.
     this.parts.suspects?.applyReports(message);
     this.placementService.applyReports(message.reports);
     if (message.entryId !== '') {
@@ -203,8 +204,8 @@
   }
 
   /*
-   * The connection of an entry that lost its power stays open, and free slots would be granted to
-   * its waiting requests. So the stream of an entry that timed out is closed.
+   * The connection of an entry whose machine lost power stays open, and free slots would be granted
+   * to its waiting requests. So the stream of an entry that timed out is closed.
    */
   private hasTimedOut({ entryId, silentMs }: PlacementStream, now: number): boolean {
     return entryId !== '' && silentMs > ENTRY_TIMEOUT_MS && !this.entries.has(entryId, now);
--- a/src/control/leaderWait.ts
+++ b/src/control/leaderWait.ts
@@ -3,8 +3,8 @@
 /**
  * Waits for an election in progress, for example after all processes were killed.
  *
- * However many calls wait, the replica checks for a leader once for all of them, when something may
- * have changed. Otherwise the checks would take CPU time from the election itself.
+ * The replica checks for a leader only when something may have changed, and once for all calls that
+ * wait. Otherwise the checks would take CPU time from the election itself.
  *
  * @example
  * await leaderWait.wait(600); // until `leaderWait.check()` finds a leader, 600 ms at most
@@ -12,7 +12,7 @@
 export class LeaderWait {
   private readonly heldCalls = new HeldCalls();
 
-  /** @param isLeaderKnown whether this replica leads or knows the leader */
+  /** @param isLeaderKnown returns whether this replica leads or knows the leader */
   constructor(private readonly isLeaderKnown: () => boolean) {}
 
   /** Resolves once a leader is known, or after `maxMs` if none is. */
--- a/src/control/loadSums.ts
+++ b/src/control/loadSums.ts
@@ -4,9 +4,9 @@
 interface LoadSum {
   inFlight: number;
   tokens: number;
-  /** Sum of the slowness that observers reported, in thousandths. */
+  /** Sum of the slowness that entries reported, in thousandths. */
   slowness: number;
-  /** Number of entries that measured its speed. */
+  /** Number of entries that reported a slowness, because they measured the speed of the server. */
   observers: number;
   /** Number of entries that reported a load. */
   reporters: number;
@@ -22,7 +22,7 @@
  *
  * @example
  * sums.set('e1', request.loads);
- * const others = sums.sum('e1'); // what all entries but this one have
+ * const others = sums.sum('e1'); // loads of all entries but e1
  */
 export class LoadSums {
   private readonly reportedLoads = new Map<string, readonly WorkerLoad[]>();
--- a/src/control/placementService.ts
+++ b/src/control/placementService.ts
@@ -119,7 +119,7 @@
     this.deliver(placeWaiting(this.tables, now));
   }
 
-  /** Frees slots that an entry does not hold: the grant or the final report was lost. */
+  /** Frees slots that an entry does not hold, as the grant or the final report was lost. */
   releaseUnheld(entryId: string, heldIds: readonly string[]): void {
     retainPlaced(this.tables, entryId, new Set(heldIds));
   }
@@ -134,7 +134,7 @@
     applyLoads(this.workers, loads);
   }
 
-  /** Frees the slots of entries that are gone, decides on waiting requests, sends keep-alives. */
+  /** Frees the slots of disconnected entries, decides on waiting requests, sends keepalives. */
   tick(isConnected: (entryId: string) => boolean): void {
     const now = this.parts.clock.now();
     expirePlaced(this.tables, isConnected, now);
--- a/src/control/placementStream.ts
+++ b/src/control/placementStream.ts
@@ -16,7 +16,7 @@
 
 /**
  * Longest time without a message to an entry whose requests wait, in milliseconds. It is less than
- * half of the time after which the entry takes the leader for unavailable.
+ * half of the time after which the entry considers the leader unavailable.
  */
 const KEEP_ALIVE_MS = 100;
 
@@ -58,10 +58,10 @@
    * Records that a message of the entry was processed. The acknowledgement is sent at once only if
    * the message requests slots; most messages only report the progress of running requests.
    */
-  acknowledge(number: number, isAsking: boolean): void {
+  acknowledge(number: number, hasSlotRequests: boolean): void {
     this.acknowledged = number;
     this.receivedAt = this.clock.now();
-    if (isAsking) this.flushTask.schedule();
+    if (hasSlotRequests) this.flushTask.schedule();
   }
 
   /** Queues a decision for the next message to the entry. */
@@ -70,7 +70,7 @@
     this.flushTask.schedule();
   }
 
-  /** Sends a message if the last one is too long ago, so that the entry sees a live leader. */
+  /** Sends a message if the last one is too long ago: a keepalive, even without decisions. */
   keepAlive(): void {
     if (this.clock.now() - this.sentAt >= KEEP_ALIVE_MS) this.flushTask.schedule();
   }
--- a/src/control/recordCache.ts
+++ b/src/control/recordCache.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Caches records on disk over a restart, such as the backend servers. Without the cache, a site
+ * Caches records on disk across restarts, such as the backend servers. Without the cache, a site
  * whose processes were all killed at once would have no server to send requests to until the next
  * announcements. Cached records may be stale or missing.
  *
--- a/src/control/recoveryWindow.ts
+++ b/src/control/recoveryWindow.ts
@@ -11,8 +11,8 @@
 const HOLD_MS = 500;
 
 /**
- * Times in which a new leader accepts the records that other replicas cached over a restart, and in
- * which a follower reports its own.
+ * Times in which a new leader accepts the records that other replicas cached across a restart, and
+ * in which a follower reports its own.
  *
  * After all processes of a site ended, the log decides which replica leads, and that replica may
  * have lost its cache. A replica that has followed a leader since its start has newer records than
--- a/src/control/replicaDirectory.ts
+++ b/src/control/replicaDirectory.ts
@@ -1,7 +1,7 @@
 import type { Replica } from '../protocol/generated/beechlift';
 import type { ReplicaSet } from '../core/log/logTypes';
 
-/** Bounds the number of replicas that are kept from searching for the site. */
+/** Most discovered replicas that are stored. */
 const MAX_DISCOVERED = 32;
 
 /**
--- a/src/control/routedNode.ts
+++ b/src/control/routedNode.ts
@@ -30,7 +30,7 @@
 
 /** Interval at which the log checks its timers, in milliseconds. */
 export const TICK_MS = 25;
-/** Time without contact to a leader after which a replica searches for the site, in ms. */
+/** Time without contact with a leader after which a replica searches for the site, in ms. */
 const LOST_CONTACT_MS = 1_000;
 
 /**
@@ -48,7 +48,7 @@
 
   private readonly softState: SoftState;
 
-  /** Rejects announcements that no backend server of this site sends. */
+  /** Rejects announcements that cannot be from a backend server of this site. */
   readonly announcementValidator: AnnouncementValidator;
 
   private readonly announcementService: AnnouncementService;
@@ -155,7 +155,7 @@
     return [...voters, ...learners].map(({ address }) => address);
   }
 
-  /** Whether contact to the leader was lost; this replica may no longer be part of the site. */
+  /** Whether contact with the leader was lost; this replica may no longer be part of the site. */
   get hasLostContact(): boolean {
     const { state } = this.runner;
     return state.role !== 'leader'
@@ -226,8 +226,8 @@
    *
    * It needs no lease: only this replica counts slots and remaining account limits until another
    * one leads, and entries that learn of a new leader connect to it. On lossy links the lease
-   * lapses for some hundred milliseconds at a time. If placement stopped meanwhile, the entries
-   * would choose servers themselves and refuse requests of accounts within their limits.
+   * lapses for some hundred milliseconds at a time. If placement stopped meanwhile, entries would
+   * choose servers themselves and refuse requests of accounts that are within their limits.
    */
   openPlacementStream(sink: PlacementSink): PlacementMessageHandlers {
     if (this.runner.state.role !== 'leader') throw new BeechliftError('noQuorum', 'this replica does not lead');
@@ -314,8 +314,8 @@
 
   /*
    * After a suspension of the VM the lease is not valid until it is renewed: see the `suspended`
-   * event of the log. This is checked before every answer that depends on the lease, as the first
-   * call after a resume may come before any tick.
+   * event of the log. This is checked before every answer that depends on the lease, because the
+   * first call after the VM resumes may be handled before any tick.
    */
   private checkSuspension(): void {
     const epoch = this.parts.suspension.readEpoch();
--- a/src/control/softState.ts
+++ b/src/control/softState.ts
@@ -21,7 +21,7 @@
 
 /**
  * State of a replica that is not in the log: the backend servers and the suspect requests. The
- * leader receives them, followers copy them from the leader, and all cache them over a restart.
+ * leader receives them, followers copy them from the leader, and all cache them across restarts.
  *
  * @example
  * const softState = new SoftState({ ...parts, watches, countEntries });
--- a/src/control/suspectRegistry.ts
+++ b/src/control/suspectRegistry.ts
@@ -39,7 +39,7 @@
 
 /**
  * Requests that are suspected of crashing backend servers. The leader receives the crash reports
- * and evaluates them, followers copy its list, and all replicas cache the list over a restart.
+ * and evaluates them, followers copy its list, and all replicas cache the list across restarts.
  *
  * @example
  * suspects.applyReports(message); // entries receive the changes in their next watch reply
@@ -61,7 +61,7 @@
     return this.leaderList.heldVersion;
   }
 
-  /** Applies reports of servers that crashed while serving requests, and of served requests. */
+  /** Applies reports of servers that crashed while they ran requests, and of served requests. */
   applyReports({ sightings, served }: Pick<PlaceNews, 'sightings' | 'served'>): void {
     const now = this.parts.clock.now();
     sightings.forEach((sighting) => {
@@ -135,7 +135,7 @@
     return findStage(this.table, fingerprint, this.parts.clock.now()) === 'noted';
   }
 
-  /** Adds suspects that another replica cached over a restart and that are missing here. */
+  /** Adds suspects that another replica cached across a restart and that are missing here. */
   recover(records: readonly SuspectRecord[]): void {
     const missing = records.filter((record) => this.needsSuspect(record));
     if (missing.length === 0) return;
@@ -145,7 +145,7 @@
     this.parts.logger.info('suspects recovered', { count: missing.length });
   }
 
-  /** Whether a client that has a list of this leader has an old version. */
+  /** Whether a client has an old version of this leader's list; false for another leader's. */
   hasUpdates({ suspectsEpoch, suspectsRevision }: WatchRequest, epoch: string): boolean {
     return suspectsEpoch === epoch && suspectsRevision !== this.table.revision;
   }
--- a/src/control/watchService.ts
+++ b/src/control/watchService.ts
@@ -70,14 +70,14 @@
       await this.awaitRecovery();
     }
     if (!this.hasUpdates(request)) await watches.hold(Math.min(MAX_HOLD_MS, request.holdMs));
-    // A change answers all entries at once, and all entries ask a new leader at once: yielding
-    // between replies lets the heartbeats of the log go out.
+    // A change answers the requests of all entries at once, and a new leader gets requests of all
+    // entries at once: yielding between replies lets the log send its heartbeats.
     await this.turns.wait();
     if (!readView().isLeading) return this.buildNotLeadingReply();
     return work.measure('watch', () => this.buildReply(request));
   }
 
-  /** Applies the records that a follower cached over a restart. */
+  /** Applies the records that a follower cached across a restart. */
   private recoverRecords({ rememberedWorkers, rememberedSuspects }: WatchRequest): void {
     const { registry, suspects, recoveryWindow } = this.parts;
     if (!recoveryWindow.isOpen) return;
--- a/src/control/workMeter.ts
+++ b/src/control/workMeter.ts
@@ -18,7 +18,7 @@
 /** Interval at which a leader logs its work, in milliseconds. */
 const LOG_INTERVAL_MS = 5_000;
 
-const NOTHING: WorkCount = { count: 0, ms: 0 };
+const NO_WORK: WorkCount = { count: 0, ms: 0 };
 
 const makeCounts = (count: (kind: WorkKind) => WorkCount): WorkCounts => (
   Object.fromEntries(WORK_KINDS.map((kind) => [kind, count(kind)])) as Record<WorkKind, WorkCount>
@@ -34,7 +34,7 @@
 export class WorkMeter {
   private readonly counts = new Map<WorkKind, WorkCount>();
 
-  private loggedCounts = makeCounts(() => NOTHING);
+  private loggedCounts = makeCounts(() => NO_WORK);
 
   /** Longest delay of the timer since the last log line, in milliseconds. */
   private mostLateMs = 0;
@@ -59,7 +59,7 @@
     try {
       return run();
     } finally {
-      const { count, ms } = this.counts.get(kind) ?? NOTHING;
+      const { count, ms } = this.counts.get(kind) ?? NO_WORK;
       this.counts.set(kind, { count: count + 1, ms: ms + this.clock.now() - startedAt });
     }
   }
@@ -73,7 +73,7 @@
 
   /** Returns the totals since the start. */
   read(): WorkCounts {
-    return makeCounts((kind) => this.counts.get(kind) ?? NOTHING);
+    return makeCounts((kind) => this.counts.get(kind) ?? NO_WORK);
   }
 
   /** Logs the work since the last log line, if the interval is over. */
--- a/src/control/workerRegistry.ts
+++ b/src/control/workerRegistry.ts
@@ -27,7 +27,7 @@
 
 /**
  * The backend servers of a site. The leader receives their announcements, followers copy its table,
- * and all replicas cache the table over a restart.
+ * and all replicas cache the table across restarts.
  *
  * @example
  * registry.applyAnnouncement(announcement); // held watch requests are answered with the change
@@ -55,7 +55,7 @@
     });
   }
 
-  /** Marks servers as silent that stopped announcing themselves. */
+  /** Sets the standing of servers that stopped announcing themselves to `silent`. */
   expire(): void {
     const { revision } = this.table;
     expireWorkers(this.table, this.parts.clock.now());
@@ -82,7 +82,7 @@
     this.addRecords(records);
   }
 
-  /** Adds servers that another replica cached over a restart and that are missing here. */
+  /** Adds servers that another replica cached across a restart and that are missing here. */
   recover(records: readonly WorkerRecord[]): void {
     const missing = records.filter((record) => needsRecord(this.table, record));
     if (missing.length === 0) return;
