--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -13,8 +13,8 @@
 const CALL_TIMEOUT_MS = 5_000;
 
 /**
- * Calls the control replicas for an operator, one after the other until one decides. A manifest may
- * be submitted repeatedly, so a call whose reply was lost is retried.
+ * Calls the control replicas for an operator, one after another until one returns a decision. A
+ * manifest may be submitted repeatedly, so a call whose reply was lost is retried.
  *
  * @example
  * const client = new OperatorClient(['10.0.0.1:7200'], key);
--- a/src/cli/runProcess.ts
+++ b/src/cli/runProcess.ts
@@ -34,7 +34,7 @@
 });
 
 /*
- * Exits after a failed write to disk: votes that are not stored could be lost with a restart. The
+ * Exits after a failed write to disk: votes that are not stored would be lost in a restart. The
  * other replicas continue without this one.
  */
 const exitOnStorageFailure = (error: unknown): void => {
--- a/src/disk/fileSystem.ts
+++ b/src/disk/fileSystem.ts
@@ -12,7 +12,7 @@
 }
 
 /**
- * The file system operations that the stores use; tests replace them by a file system that loses
+ * The file system operations that the stores use; tests replace them with a file system that loses
  * unsynced data.
  */
 export interface FileSystem {
--- a/src/disk/logStore.ts
+++ b/src/disk/logStore.ts
@@ -64,7 +64,7 @@
     return this.file.append(appends.map((append): LogRecord => ({ kind: 'state', ...append })));
   }
 
-  /** Replaces the whole file by a snapshot and the entries after it. */
+  /** Replaces the whole file with a snapshot and the entries after it. */
   replace(snapshot: Snapshot, hardState: HardState, entries: readonly LogEntry[]): Promise<void> {
     const records: LogRecord[] = [
       { kind: 'snapshot', snapshot },
--- a/src/disk/recordFile.ts
+++ b/src/disk/recordFile.ts
@@ -37,9 +37,9 @@
 
 /*
  * After a crash any part of the last batch may be missing or garbled. Its records were not yet
- * acknowledged, because that waits for the sync, so the batch is cut off. A batch is one line, so
+ * acknowledged, because that waits for the sync, so the batch is discarded. A batch is one line, so
  * an invalid line before a valid one is not a torn write but corruption of acknowledged records:
- * such a file is refused.
+ * opening such a file fails.
  */
 const parseContent = (path: string, content: Buffer): ParsedContent => {
   const lines = splitLines(content).map((line) => ({ line, records: parseLine(line) }));
@@ -92,7 +92,7 @@
     return this.bytesWritten;
   }
 
-  /** Reads all records, cuts off a torn end, and opens the file for appending. */
+  /** Reads all records, discards a torn last batch, and opens the file for appending. */
   async open(): Promise<unknown[]> {
     await this.files.makeFolder(dirname(this.path));
     const content = await this.files.readFile(this.path) ?? Buffer.alloc(0);
--- a/src/http/addGracefulClose.ts
+++ b/src/http/addGracefulClose.ts
@@ -16,8 +16,8 @@
 });
 
 /**
- * Corrects the close of the library, which destroys connections whose responses have ended but are
- * not fully written yet, and waits for connections that have not sent anything.
+ * Corrects how the library closes a server: it destroys connections whose responses have ended but
+ * are not fully written yet, and waits for connections that have not sent anything.
  *
  * @example
  * addGracefulClose(app);
--- a/src/http/httpServer.ts
+++ b/src/http/httpServer.ts
@@ -34,7 +34,7 @@
 };
 
 /**
- * Sends an error in the format that docs/CALLERS.md describes.
+ * Sends an error in the format described in docs/CALLERS.md.
  *
  * @example
  * sendError(reply, new BeechliftError('unknownPath', 'GET /x'));
--- a/src/http/httpSink.ts
+++ b/src/http/httpSink.ts
@@ -14,7 +14,7 @@
 /**
  * Writes an answer to a caller, either as a stream of server-sent events or as one JSON document.
  *
- * Bounds the memory for a slow caller: the next event is read from the engine only when the
+ * Limits the memory that a slow caller uses: the next event is read from the engine only when the
  * caller's connection has drained.
  *
  * @example
@@ -93,7 +93,7 @@
     this.hasStarted = true;
     this.reply.hijack();
     this.reply.raw.writeHead(200, STREAM_HEADERS);
-    // Comments let a caller distinguish a dead connection from a slow answer.
+    // Comments in the stream let a caller distinguish a broken connection from a slow answer.
     this.keepAlive = setInterval(() => this.reply.raw.write(': keep-alive\n\n'), KEEP_ALIVE_MS);
     this.keepAlive.unref();
   }
--- a/src/telemetry/addGauge.ts
+++ b/src/telemetry/addGauge.ts
@@ -2,7 +2,7 @@
 import type { Registry } from 'prom-client';
 
 /**
- * Adds a gauge whose value is read at each scrape.
+ * Registers a gauge whose value is read at each scrape.
  *
  * @example
  * addGauge(registry, 'beechlift_control_term', 'Term of the log', () => state.term);
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -36,7 +36,7 @@
   return output;
 };
 
-/** Number of lines dropped so far because the reader was too slow. */
+/** Counts the log lines that were dropped so far because the reader was too slow. */
 export const countDroppedLines = (): number => droppedLines;
 
 /**
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -16,17 +16,17 @@
 export class Metrics {
   readonly registry = new Registry();
 
-  readonly requests = this.makeCounter('beechlift_requests_total', 'Requests by tier and result code; code 0 is a whole answer', ['tier', 'code']);
+  readonly requests = this.makeCounter('beechlift_requests_total', 'Requests by tier and result code; code 0 is a complete answer', ['tier', 'code']);
 
-  readonly goodput = this.makeCounter('beechlift_goodput_total', 'Whole answers within the limits of their tier', ['tier']);
+  readonly goodput = this.makeCounter('beechlift_goodput_total', 'Complete answers within the limits of their tier', ['tier']);
 
   readonly wastedPrefill = this.makeCounter('beechlift_wasted_prefill_tokens_total', 'Prompt tokens dispatched for answers that were dropped, repeated or moved', ['reason']);
 
-  readonly resumes = this.makeCounter('beechlift_stream_resumes_total', 'Streams taken up again over a fresh connection', []);
+  readonly resumes = this.makeCounter('beechlift_stream_resumes_total', 'Streams resumed over a new connection', []);
 
-  readonly retries = this.makeCounter('beechlift_retries_total', 'Dispatches that never left and were tried elsewhere', []);
+  readonly retries = this.makeCounter('beechlift_retries_total', 'Retries after a dispatch that was not executed', []);
 
-  readonly orders = this.makeCounter('beechlift_orders_total', 'Orders to backend servers by what they answered', ['result']);
+  readonly orders = this.makeCounter('beechlift_orders_total', 'Orders sent to backend servers, by result', ['result']);
 
   readonly firstToken = new Histogram({
     name: 'beechlift_first_token_seconds', help: 'Time to the first token by tier', labelNames: ['tier'], buckets: FIRST_TOKEN_BUCKETS, registers: [this.registry],
@@ -36,11 +36,11 @@
 
   readonly workers = this.makeGauge('beechlift_workers', 'Backend servers of owned pools by state', ['pool', 'state']);
 
-  readonly version = this.makeGauge('beechlift_configuration_version', 'Manifest version in force here', []);
+  readonly version = this.makeGauge('beechlift_configuration_version', 'Manifest version in force at this entry', []);
 
-  readonly lease = this.makeGauge('beechlift_configuration_lease_seconds', 'Time that the configuration lease still lasts', []);
+  readonly lease = this.makeGauge('beechlift_configuration_lease_seconds', 'Remaining time of the configuration lease', []);
 
-  readonly openStreams = this.makeGauge('beechlift_open_streams', 'Answers being relayed', []);
+  readonly openStreams = this.makeGauge('beechlift_open_streams', 'Answers that are being relayed to callers', []);
 
   readonly loopDelay = this.makeGauge('beechlift_event_loop_delay_p99_seconds', '99th percentile of the event loop delay since the last scrape', []);
 
--- a/src/telemetry/tracing.ts
+++ b/src/telemetry/tracing.ts
@@ -19,8 +19,8 @@
 const MAX_QUEUED_SPANS = 8_192;
 
 /**
- * Traces requests hop by hop. Without a file, spans are not recorded, but the context is still
- * propagated.
+ * Traces requests; each hop is a span. Without a file, spans are not recorded, but the context is
+ * still propagated.
  *
  * @example
  * const tracer = new HopTracer('entry/e1', 'traces.ndjson');
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -4,7 +4,7 @@
 }
 
 /**
- * The monotonic clock of the machine, which changes of the wall clock do not affect.
+ * The monotonic clock of the machine; changes of the wall clock do not affect it.
  *
  * @example
  * const startedAt = systemClock.now();
@@ -16,14 +16,14 @@
 /** Start of this process on `systemClock`, which counts from `performance.timeOrigin`. */
 export const PROCESS_START = 0;
 
-/** Largest change of the offset between the two clocks that is not taken for a suspension. */
+/** Largest change of the offset between the two clocks that does not count as a suspension. */
 const MAX_CLOCK_DRIFT_MS = 100;
 
 /**
  * Detects that the machine may have been suspended.
  *
- * The monotonic clock of a VM stands still during a suspension, so a lease that expired long ago
- * looks valid when the VM resumes. The wall clock continues, so the offset between the two clocks
+ * The monotonic clock of a VM stops during a suspension, so a lease that expired long ago looks
+ * valid when the VM resumes. The wall clock continues, so the offset between the two clocks
  * jumps. Setting the wall clock has the same effect, which costs one renewal of each lease.
  *
  * @example
@@ -43,7 +43,7 @@
     this.offset = this.measureOffset();
   }
 
-  /** A number that increases each time the machine may have been suspended. */
+  /** Returns a number that increases each time the machine may have been suspended. */
   readEpoch(): number {
     const offset = this.measureOffset();
     if (Math.abs(offset - this.offset) > MAX_CLOCK_DRIFT_MS) this.epoch += 1;
--- a/src/utils/immediateQueue.ts
+++ b/src/utils/immediateQueue.ts
@@ -8,7 +8,7 @@
  * are handled in between.
  *
  * Without it, a process that answers hundreds of requests at once sends no heartbeats meanwhile,
- * and others take it for dead: the leader would be replaced after each change.
+ * and others consider it failed: the leader would be replaced after each change.
  *
  * @example
  * await queue.wait(); // then do one piece of the work
--- a/src/utils/immediateTask.ts
+++ b/src/utils/immediateTask.ts
@@ -2,9 +2,9 @@
  * A task that runs once in the next iteration of the event loop, however often it is scheduled.
  *
  * @example
- * const flushing = new ImmediateTask(() => this.flush());
- * flushing.schedule();
- * flushing.schedule(); // flushes once
+ * const flushTask = new ImmediateTask(() => this.flush());
+ * flushTask.schedule();
+ * flushTask.schedule(); // flushes once
  */
 export class ImmediateTask {
   private isScheduled = false;
--- a/src/utils/noSchemas.ts
+++ b/src/utils/noSchemas.ts
@@ -5,8 +5,8 @@
 };
 
 /**
- * Options of a server whose routes have no schemas. They keep the framework from loading its schema
- * compilers, which would prolong the outage after a process was killed.
+ * Options of a server whose routes have no schemas. They prevent the framework from loading its
+ * schema compilers, which would prolong the outage after a process was killed.
  */
 export const NO_SCHEMAS: Pick<FastifyServerOptions, 'schemaController'> = {
   schemaController: {
--- a/src/utils/packedText.ts
+++ b/src/utils/packedText.ts
@@ -1,13 +1,13 @@
 import { gunzipSync, gzipSync } from 'node:zlib';
 
-/** Limit on an unpacked text, in bytes: the same as for a message between processes. */
+/** Limit on an unpacked text, in bytes; equal to the limit on messages between processes. */
 const MAX_UNPACKED_BYTES = 67_108_864;
 
 /** Shortest text that is packed, in characters: with shorter ones, packing does not pay off. */
 const MIN_PACKED_LENGTH = 16_384;
 
 /**
- * Compresses a large text with gzip; undefined for a small one, which is better sent as it is.
+ * Compresses a large text with gzip; returns undefined for a small one, which is sent as text.
  *
  * @example
  * const packed = packLarge(document); // undefined for a document of few routes
