--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -170,7 +170,7 @@
     await heartbeat.sendLatestState();
   };
   await heartbeat.send();
-  logger.info('entry serves', { peerAddress });
+  logger.info('entry is listening', { peerAddress });
   return {
     api,
     configuration,
