--- a/src/entry/sending/claimClient.ts
+++ b/src/entry/sending/claimClient.ts
@@ -21,7 +21,7 @@
    * The value that was accepted before. A new dispatch is allowed only if there is none or its
    * state is `released`.
    */
-  readonly bound: ClaimValue | undefined;
+  readonly acceptedValue: ClaimValue | undefined;
 }
 
 interface Round {
@@ -150,7 +150,7 @@
       { holderSet: groups.number, key, ballot },
       operation,
     ));
-    if (round.won) return { key, ballot, bound: findAcceptedValue(round.replies.values()) };
+    if (round.won) return { key, ballot, acceptedValue: findAcceptedValue(round.replies.values()) };
     operation.recordStep(`preparing the claim with ballot ${ballot.round} failed: ${formatRound(round)}`);
     await this.pauseBeforeRetry(operation, attempts);
     const next = computeNextBallot(ballot.proposer, round.replies.values(), ballot);
@@ -186,6 +186,6 @@
 }
 
 /** Whether a prepared claim allows a new dispatch. */
-export const canDispatch = ({ bound }: PreparedClaim): boolean => (
-  bound === undefined || bound.state === 'released'
+export const canDispatch = ({ acceptedValue }: PreparedClaim): boolean => (
+  acceptedValue === undefined || acceptedValue.state === 'released'
 );
--- a/src/entry/sending/modelRunner.ts
+++ b/src/entry/sending/modelRunner.ts
@@ -80,12 +80,12 @@
         throw error;
       })
       .then(() => {
-        if (job.claim.bound) job.waitOperation.cancel('an earlier attempt with the same key is resumed');
+        if (job.claim.bindingValue) job.waitOperation.cancel('an earlier attempt with the same key is resumed');
       })
       .finally(() => span.end());
     const granted = slots.acquire(job.request, job.waitOperation, job.context);
     const [claim, slot] = await Promise.allSettled([claimed, granted]);
-    if (claim.status === 'rejected' || job.claim.bound) {
+    if (claim.status === 'rejected' || job.claim.bindingValue) {
       if (slot.status === 'fulfilled') slots.releaseUnused(job.request);
       if (claim.status === 'rejected') throw claim.reason;
       return undefined;
@@ -225,16 +225,16 @@
 
   /** Answers with the stored or resumed answer of an earlier attempt with the same key. */
   private async answerFromClaim(job: RequestJob): Promise<void> {
-    const bound = job.claim.bound as ClaimValue;
-    if (bound.state === 'finished' && bound.answerKept) {
-      await replayAnswer(job.sink, decodeStoredAnswer(bound.answer));
+    const bindingValue = job.claim.bindingValue as ClaimValue;
+    if (bindingValue.state === 'finished' && bindingValue.answerKept) {
+      await replayAnswer(job.sink, decodeStoredAnswer(bindingValue.answer));
       return;
     }
-    await job.claim.confirmBound(job.relayOperation);
-    if (!bound.canResume) {
-      throw new BeechliftError(bound.state === 'finished' ? 'answerGone' : 'outcomeUnknown', 'a request with the same key was dispatched before, and its answer cannot be resumed', { retryAfterMs: 1_000 });
+    await job.claim.confirmAcceptedValue(job.relayOperation);
+    if (!bindingValue.canResume) {
+      throw new BeechliftError(bindingValue.state === 'finished' ? 'answerGone' : 'outcomeUnknown', 'a request with the same key was dispatched before, and its answer cannot be resumed', { retryAfterMs: 1_000 });
     }
-    await this.resumeBound(job, bound);
+    await this.resumeEarlierAttempt(job, bindingValue);
   }
 
   /*
@@ -242,36 +242,36 @@
    * the first byte before the grant expires. Until then, an engine that does not have the stream
    * proves nothing, and blocking the stream would make both the request and its resend fail.
    */
-  private async resumeBound(
+  private async resumeEarlierAttempt(
     job: RequestJob,
-    bound: ClaimValue,
+    bindingValue: ClaimValue,
     arrivalDeadline = this.parts.clock.now() + MAX_DISPATCH_DELAY_MS,
   ): Promise<void> {
     const headers = this.parts.tracer.formatHeaders(job.context);
     try {
-      await this.streams.run(job, bound, undefined, headers);
+      await this.streams.run(job, bindingValue, undefined, headers);
     } catch (error) {
       if (!(error instanceof UnknownStreamError)) throw error;
-      const mayArrive = error.offset === 0 && bound.state === 'dispatched'
+      const mayArrive = error.offset === 0 && bindingValue.state === 'dispatched'
         && this.parts.clock.now() < arrivalDeadline && !job.caller.isDisconnected();
       if (!mayArrive) {
-        await this.handleLostStream(job, bound, error);
+        await this.handleLostStream(job, bindingValue, error);
         return;
       }
       await pause(ARRIVAL_POLL_MS);
-      await this.resumeBound(job, bound, arrivalDeadline);
+      await this.resumeEarlierAttempt(job, bindingValue, arrivalDeadline);
     }
   }
 
   private async handleLostStream(
     job: RequestJob,
-    bound: ClaimValue,
+    bindingValue: ClaimValue,
     error: UnknownStreamError,
   ): Promise<void> {
-    if (bound.state === 'finished') {
+    if (bindingValue.state === 'finished') {
       throw new BeechliftError('answerGone', 'the request ran, but neither the engine nor the claim has its answer any more');
     }
-    const isProven = error.offset === 0 && await this.isProvenNotRun(bound);
+    const isProven = error.offset === 0 && await this.isProvenNotRun(bindingValue);
     if (!isProven) {
       throw new BeechliftError('outcomeUnknown', 'the engine has no record of the stream and cannot prove that it never ran', { steps: job.relayOperation.steps });
     }
--- a/src/entry/sending/requestClaim.ts
+++ b/src/entry/sending/requestClaim.ts
@@ -51,10 +51,10 @@
     return this.request.idempotencyKey !== '';
   }
 
-  /** The accepted value of an earlier attempt, which binds this one. */
-  get bound(): ClaimValue | undefined {
+  /** The accepted value of an earlier attempt, if it rules out a new dispatch by this one. */
+  get bindingValue(): ClaimValue | undefined {
     return this.preparedClaim && !canDispatch(this.preparedClaim)
-      ? this.preparedClaim.bound
+      ? this.preparedClaim.acceptedValue
       : undefined;
   }
 
@@ -63,8 +63,8 @@
     if (!this.hasKey) return;
     const { account, idempotencyKey, bodyHash } = this.request;
     this.preparedClaim = await this.claims.prepare(`${account}\n${idempotencyKey}`, operation);
-    const { bound } = this;
-    if (bound && bound.bodyHash !== bodyHash) {
+    const { bindingValue } = this;
+    if (bindingValue && bindingValue.bodyHash !== bodyHash) {
       throw new BeechliftError('keyReused', 'this Idempotency-Key was used with another body');
     }
   }
@@ -74,11 +74,11 @@
     await this.write('dispatched', operation, dispatch);
   }
 
-  /** Writes the bound value again, so that a majority has it before it is used. */
-  async confirmBound(operation: Operation): Promise<void> {
-    if (!this.preparedClaim?.bound) return;
-    this.lastValue = this.preparedClaim.bound;
-    await this.claims.accept(this.preparedClaim, this.preparedClaim.bound, operation);
+  /** Writes the accepted value again, so that a majority has it before it is used. */
+  async confirmAcceptedValue(operation: Operation): Promise<void> {
+    if (!this.preparedClaim?.acceptedValue) return;
+    this.lastValue = this.preparedClaim.acceptedValue;
+    await this.claims.accept(this.preparedClaim, this.preparedClaim.acceptedValue, operation);
   }
 
   /** Writes that the answer is complete, with the answer itself if it is within the size limit. */
@@ -118,7 +118,7 @@
    */
   async reacquire(operation: Operation): Promise<void> {
     await this.acquire(operation);
-    if (this.bound) throw makeSupersededError();
+    if (this.bindingValue) throw makeSupersededError();
   }
 
   private async write(
--- a/src/entry/sending/serviceRunner.ts
+++ b/src/entry/sending/serviceRunner.ts
@@ -47,8 +47,8 @@
   /** Runs a call and returns the complete answer. */
   async run(job: RequestJob, dispatch: ServiceDispatch): Promise<ServiceAnswer> {
     await job.claim.acquire(job.waitOperation);
-    const { bound } = job.claim;
-    if (bound) return this.answerFromClaim(bound);
+    const { bindingValue } = job.claim;
+    if (bindingValue) return this.answerFromClaim(bindingValue);
     return this.acquireSlotAndSend(job, dispatch);
   }
 
@@ -62,17 +62,17 @@
     return this.send(job, grant, dispatch);
   }
 
-  private answerFromClaim(bound: ClaimValue): ServiceAnswer {
-    if (bound.state === 'finished' && bound.answerKept) {
+  private answerFromClaim(bindingValue: ClaimValue): ServiceAnswer {
+    if (bindingValue.state === 'finished' && bindingValue.answerKept) {
       return {
-        status: bound.status,
+        status: bindingValue.status,
         headers: {
-          [TYPE_HEADER]: bound.contentType,
+          [TYPE_HEADER]: bindingValue.contentType,
         },
-        body: Buffer.from(bound.answer),
+        body: Buffer.from(bindingValue.answer),
       };
     }
-    if (bound.state === 'finished') throw new BeechliftError('answerGone', 'the call ran, but its answer was too large to be stored');
+    if (bindingValue.state === 'finished') throw new BeechliftError('answerGone', 'the call ran, but its answer was too large to be stored');
     throw new BeechliftError('outcomeUnknown', 'a call with the same key was sent before, and its outcome is not known', { retryAfterMs: 1_000 });
   }
 
--- a/tests/core/claims-model.spec.ts
+++ b/tests/core/claims-model.spec.ts
@@ -111,7 +111,7 @@
   };
   try {
     await claim.acquire(operation);
-    return claim.bound === undefined && await tryNext(releases);
+    return claim.bindingValue === undefined && await tryNext(releases);
   } catch {
     return false;
   }
