--- a/src/core/schedule/announcements.ts
+++ b/src/core/schedule/announcements.ts
@@ -21,7 +21,7 @@
   ended: [],
   prefixes: new Map(),
   slowness: 1,
-  pace: 'steady',
+  loadLevel: 'steady',
   reach: 'reached',
   suspendedAt: 0,
   pauseMs: 0,
--- a/src/core/schedule/poolSchedule.ts
+++ b/src/core/schedule/poolSchedule.ts
@@ -127,7 +127,7 @@
     report.outputTokens,
   );
   updateSlowness(tables, worker, report.totalMs / Math.max(1, expected));
-  if (worker.pace === 'steady') {
+  if (worker.loadLevel === 'steady') {
     updateSpeed(tables.speeds, {
       hardware: worker.hardware,
       batch: running.batch,
--- a/src/core/schedule/scheduleTypes.ts
+++ b/src/core/schedule/scheduleTypes.ts
@@ -9,7 +9,7 @@
 import type { SpeedTable } from './speedModel';
 
 /** Load of a worker: `steady` for full load, `eased` for only a probe because it is slow. */
-export type WorkerPace = 'steady' | 'eased';
+export type LoadLevel = 'steady' | 'eased';
 
 /**
  * Reachability of a worker: `reached` workers receive requests up to their slots, `suspended`
@@ -80,7 +80,7 @@
   readonly prefixes: Map<string, number>;
   /** Smoothed ratio of observed to expected time; 1 is as expected. */
   slowness: number;
-  pace: WorkerPace;
+  loadLevel: LoadLevel;
   reach: WorkerReach;
   /** When it last became unreachable for a request, monotonic milliseconds. */
   suspendedAt: number;
--- a/src/core/schedule/workerIndex.ts
+++ b/src/core/schedule/workerIndex.ts
@@ -17,12 +17,12 @@
 export const computeUsableSlots = (worker: WorkerEntity): number => {
   if (worker.leaving || worker.reach === 'suspended' || worker.orderPhase !== 'serving') return 0;
   const own = Math.max(0, worker.slots - worker.externalRequests);
-  const isProbed = worker.pace === 'eased' || worker.reach === 'probed';
+  const isProbed = worker.loadLevel === 'eased' || worker.reach === 'probed';
   return isProbed ? Math.min(PROBE_SLOTS, own) : own;
 };
 
 const formatBucket = (worker: WorkerEntity): string => (
-  `${worker.hardware}\n${worker.running.size}\n${worker.pace}\n${worker.zone}`
+  `${worker.hardware}\n${worker.running.size}\n${worker.loadLevel}\n${worker.zone}`
 );
 
 const removeFromBuckets = (index: WorkerIndex, id: string): void => {
--- a/src/core/schedule/workerSystems.ts
+++ b/src/core/schedule/workerSystems.ts
@@ -55,12 +55,12 @@
   worker.slowness / Math.exp(tables.slownessLogSum / Math.max(1, tables.workers.size))
 );
 
-const setPace = (tables: ScheduleTables, worker: WorkerEntity): void => {
-  const { pace } = worker;
+const setLoadLevel = (tables: ScheduleTables, worker: WorkerEntity): void => {
+  const { loadLevel } = worker;
   const slowness = computeRelativeSlowness(tables, worker);
-  if (slowness > EASED_ABOVE_SLOWNESS) worker.pace = 'eased';
-  if (slowness < STEADY_BELOW_SLOWNESS) worker.pace = 'steady';
-  if (worker.pace !== pace) updateIndex(tables.index, worker);
+  if (slowness > EASED_ABOVE_SLOWNESS) worker.loadLevel = 'eased';
+  if (slowness < STEADY_BELOW_SLOWNESS) worker.loadLevel = 'steady';
+  if (worker.loadLevel !== loadLevel) updateIndex(tables.index, worker);
 };
 
 /**
@@ -81,7 +81,7 @@
   const before = worker.slowness;
   worker.slowness += SLOWNESS_SMOOTHING * (sample - before);
   tables.slownessLogSum += Math.log(worker.slowness / before);
-  setPace(tables, worker);
+  setLoadLevel(tables, worker);
 };
 
 const markLate = ({ tables, now }: ScheduleStep, running: RunningEntity): void => {
--- a/src/entry/choosing/workerStatus.ts
+++ b/src/entry/choosing/workerStatus.ts
@@ -11,7 +11,7 @@
   slots: worker.slots,
   running: worker.running.size,
   leaving: worker.leaving,
-  pace: worker.pace,
+  pace: worker.loadLevel,
   reach: worker.reach,
   turn: worker.orderPhase,
   isAsWanted: worker.reportedDigest === tables.orders.desired?.digest,
--- a/tests/core/schedule-tiers.spec.ts
+++ b/tests/core/schedule-tiers.spec.ts
@@ -174,7 +174,7 @@
     const runMany = (name: string, isSlow: (workerId: string) => boolean) => (
       Array.from({ length: 60 }).forEach((unused, position) => runOne(`${name}${position}`, isSlow)));
     const listEased = () => [...tables.workers.values()]
-      .filter(({ pace }) => pace === 'eased')
+      .filter(({ loadLevel }) => loadLevel === 'eased')
       .map(({ id }) => id);
     runMany('a', () => false);
     runMany('b', () => true);
