--- a/src/relay/openRequests.ts
+++ b/src/relay/openRequests.ts
@@ -73,7 +73,7 @@
   }
 
   /** Refuses all requests whose answers have not started. */
-  endAll(): void {
+  refuseAll(): void {
     [...this.open].forEach((request) => request.refuseForShutdown());
   }
 
--- a/src/relay/relayShutdown.ts
+++ b/src/relay/relayShutdown.ts
@@ -61,10 +61,10 @@
     await this.waitQuiet(() => readRemainingMs(ANSWER_FRACTION));
     // Refuses the requests that are still open when the grace period ends.
     logger.info('entry closes its connections', { tookMs: Math.round(clock.now() - startedAt), open: openRequests.count });
-    openRequests.endAll();
+    openRequests.refuseAll();
     await openRequests.waitIdle(readRemainingMs(STREAM_FRACTION));
     // Refuses requests that arrived meanwhile.
-    openRequests.endAll();
+    openRequests.refuseAll();
     openRequests.abortAll();
     server.closeAllConnections();
   }
--- a/tests/relay/failed-answers.spec.ts
+++ b/tests/relay/failed-answers.spec.ts
@@ -48,7 +48,7 @@
     const asked = rig.send(REQUEST, 500);
     await vi.waitFor(() => expect(lookedUp).toHaveBeenCalled(), { interval: 2 });
     rig.site.beginLeaving(0);
-    rig.openRequests.endAll();
+    rig.openRequests.refuseAll();
     expect(await asked).toMatch(/^HTTP\/1.1 502 /);
   });
 });
