--- a/src/core/quarantine/crashTable.ts
+++ b/src/core/quarantine/crashTable.ts
@@ -98,7 +98,7 @@
 ): string => (
   `${workerId}@${born}`);
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export const makeCrashTable = (): CrashTable => ({
   revision: FIRST_REVISION, suspects: new Map(), groupsByServer: new Map(),
 });
--- a/src/core/routing/arrivalRates.ts
+++ b/src/core/routing/arrivalRates.ts
@@ -13,7 +13,7 @@
 /** Time constant of the decay, in ms: shorter than a burst, longer than a pause within one. */
 const WINDOW_MS = 1_500;
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export const makeArrivalRates = (): ArrivalRates => new Map();
 
 const computeCurrentRate = ({ perMs, updatedAt }: Rate, now: number): number => (
--- a/src/core/routing/workerTable.ts
+++ b/src/core/routing/workerTable.ts
@@ -63,7 +63,7 @@
 /** Limit on the table's size, `gone` servers included. */
 const MAX_WORKERS = 20_000;
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export const makeWorkerTable = (epoch: string): WorkerTable => ({
   epoch, revision: 0, workers: new Map(), ownerIds: new Map(),
 });
