--- a/src/core/log/replicatedLog.ts
+++ b/src/core/log/replicatedLog.ts
@@ -88,7 +88,7 @@
  * new as the state accepted when the round was sent, regardless of any clock.
  *
  * @example
- * if (isRoundConfirmed(state, term, round)) answerRead();
+ * if (isRoundConfirmed(state, term, round)) return true;
  */
 export const isRoundConfirmed = (state: LogState, term: number, round: number): boolean => {
   const ids = [...state.peers].filter(([, peer]) => peer.ackedRound >= round).map(([id]) => id);
--- a/src/core/routing/workerEligibility.ts
+++ b/src/core/routing/workerEligibility.ts
@@ -40,7 +40,7 @@
  * Whether this entry may send requests to a server.
  *
  * @example
- * if (!isEligible(workers, worker, clock.now())) requestAnotherSlot();
+ * if (isEligible(workers, worker, clock.now())) recordProbe(worker, clock.now());
  */
 export const isEligible = (workers: RoutedWorkers, worker: RoutedWorker, now: number): boolean => (
   !isAvoided(worker, computeShortestBackoffMs(workers, worker.service, now) > 0, now));
--- a/src/entry/sending/answerRelay.ts
+++ b/src/entry/sending/answerRelay.ts
@@ -31,7 +31,7 @@
  *
  * @example
  * const relay = new AnswerRelay(engines, stream, operation);
- * await relay.run(events, async (event) => { reply.write(event.data); });
+ * await relay.run(events, async ({ data }) => { await sink.deliver(data); });
  */
 export class AnswerRelay {
   /** Number of events relayed so far. */
--- a/src/relay/requestFailover.ts
+++ b/src/relay/requestFailover.ts
@@ -12,7 +12,7 @@
  * Computes the time without an answer after which a server counts as unresponsive, in milliseconds.
  *
  * @example
- * setTimeout(() => handleSilence(call), computeSilenceMs(route));
+ * setTimeout(() => this.handleSilence(prepared, worker, call), computeSilenceMs(route));
  */
 export const computeSilenceMs = ({ targetLatencyMs }: Route): number => (
   Math.max(MIN_SILENCE_MS, SILENCE_TARGET_FACTOR * targetLatencyMs));
--- a/src/relay/retryPolicy.ts
+++ b/src/relay/retryPolicy.ts
@@ -17,7 +17,9 @@
  *
  * @example
  * retryPolicy.recordOutcome(outcome);
- * if (retryPolicy.mayRetry(outcome, writer, deadlineAt)) tryNextServer();
+ * if (!retryPolicy.mayRetry(outcome, writer, deadlineAt)) {
+ *   throw retryPolicy.makeFailure(outcome.reason);
+ * }
  */
 export class RetryPolicy {
   /** Number of sends in which bytes of the request may have reached a server. */
--- a/src/utils/operation.ts
+++ b/src/utils/operation.ts
@@ -17,7 +17,7 @@
  *
  * @example
  * const operation = new Operation({ timeoutMs: 500 });
- * await client.ask(request, operation);
+ * await claim.acquire(operation);
  */
 export class Operation {
   readonly deadline: number;
--- a/src/utils/schemaFaults.ts
+++ b/src/utils/schemaFaults.ts
@@ -31,7 +31,7 @@
  * Lists every fault of a document against a compiled schema.
  *
  * @example
- * listFaults(validateSettings, {}); // [{ path: '/', message: "must have required property …" }]
+ * listFaults(validateHeartbeat, {}); // [{ path: '/', message: "must have required property …" }]
  */
 export const listFaults = (
   validate: Pick<ValidateFunction, 'errors'> & ((value: unknown) => boolean),
--- a/src/wire/rpcServer.ts
+++ b/src/wire/rpcServer.ts
@@ -106,7 +106,7 @@
  * message is handled, becomes a status with the result code.
  *
  * @example
- * const handlers = { place: handleStream((stream) => stream.listen(openStream(stream))) };
+ * const place = handleStream((stream) => stream.listen(node.openPlacementStream(stream)));
  */
 export const handleStream = <Message, Reply>(
   open: (stream: ServerStream<Message, Reply>) => void,
